--- a/crates/runtime/src/discovery.rs
+++ b/crates/runtime/src/discovery.rs
@@ -3,6 +3,7 @@
 use super::events::{Call, Inbox, Input, News};
 use super::freshness::{Backoff, CALL, CONNECT, PAUSE, TORN, Watching};
 use super::guard::Guard;
+use super::interrupts::Uninterrupted;
 use super::listing::Listing;
 use curlewhub_balance::{Discovery as Mode, Membership};
 use curlewhub_config::list::{List, State};
@@ -314,7 +315,7 @@
         let up = due.min(Instant::now() + CONNECT);
         let connect = timeout_at(up, TcpStream::connect(self.address.get())).await;
         let stream = connect.map_err(|_| "no connection in time".to_owned())?.map_err(|e| e.to_string())?;
-        let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
+        let handshake = hyper::client::conn::http1::handshake(TokioIo::new(Uninterrupted(stream))).await;
         let (mut sender, connection) = handshake.map_err(|e| e.to_string())?;
         let task = spawn_local(connection);
         let guard = Guard::new(task.abort_handle());
--- a/crates/runtime/src/handover.rs
+++ b/crates/runtime/src/handover.rs
@@ -15,6 +15,7 @@
 use super::bans::Bans;
 use super::budget::Budget;
 use super::events::{Command, Commands, Said};
+use super::interrupts::{Uninterrupted, uninterrupted, uninterrupted_async};
 use super::learnt::Learnt;
 use super::lifecycle::{Lifecycle, State};
 use super::outbound::Outbound;
@@ -34,8 +35,9 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader, Interest};
-use tokio::net::unix::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::io::{
+    AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader, Interest, ReadHalf, WriteHalf, split,
+};
 use tokio::net::{TcpListener, TcpSocket, UnixListener, UnixStream};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::{Notify, oneshot};
@@ -115,7 +117,7 @@
 }
 
 /// What the other process says, line by line.
-struct Lines(BufReader<OwnedReadHalf>);
+struct Lines(BufReader<ReadHalf<Uninterrupted<UnixStream>>>);
 
 impl Lines {
     /// The next line without its end; none once the other has gone.
@@ -133,7 +135,14 @@
 /// The two directions of the connection between two processes.
 pub struct Talk {
     lines: Lines,
-    writer: OwnedWriteHalf,
+    writer: WriteHalf<Uninterrupted<UnixStream>>,
+}
+
+impl Talk {
+    fn over(stream: UnixStream) -> Self {
+        let (reader, writer) = split(Uninterrupted(stream));
+        Talk { lines: Lines(BufReader::new(reader)), writer }
+    }
 }
 
 impl Handover {
@@ -224,10 +233,9 @@
     }
 
     async fn take_from(&self, path: &Path) -> io::Result<Taken> {
-        let stream = UnixStream::connect(path).await?;
+        let stream = uninterrupted_async(async || UnixStream::connect(path).await).await?;
         let listener = receive(&stream).await?;
-        let (reader, writer) = stream.into_split();
-        let mut lines = Lines(BufReader::new(reader));
+        let Talk { mut lines, writer } = Talk::over(stream);
         let mut bans = Vec::new();
         loop {
             match lines.next().await?.as_deref().and_then(Word::read) {
@@ -260,7 +268,7 @@
     pub async fn offer(self: Rc<Self>, bans: Rc<Bans>, lifecycle: Rc<Lifecycle>, outbound: Rc<Outbound>) {
         let Some(listener) = self.bound().await else { return };
         loop {
-            let stream = match listener.accept().await {
+            let stream = match uninterrupted_async(async || listener.accept().await).await {
                 Ok((stream, _)) => stream,
                 Err(e) => {
                     warn!(error = %e, "handover: accept");
@@ -288,8 +296,7 @@
             let spare = self.sockets / 4;
             link.say(Word::Spare(spare));
             self.budget.share(self.sockets - spare, true);
-            let (reader, writer) = stream.into_split();
-            let talk = Talk { lines: Lines(BufReader::new(reader)), writer };
+            let talk = Talk::over(stream);
             self.has_successor.set(true);
             self.beside(&link, false);
             tokio::select! {
@@ -519,7 +526,9 @@
             if !message.push(SendAncillaryMessage::ScmRights(&sockets)) {
                 return Err(io::Error::other("no space for the socket"));
             }
-            sendmsg(stream, &[IoSlice::new(MARK)], &mut message, SendFlags::empty())?;
+            uninterrupted(|| {
+                Ok(sendmsg(stream, &[IoSlice::new(MARK)], &mut message, SendFlags::empty())?)
+            })?;
             Ok(())
         })
         .await
@@ -532,7 +541,10 @@
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
             let mut message = RecvAncillaryBuffer::new(&mut space);
             let mut mark = [0; MARK.len()];
-            recvmsg(stream, &mut [IoSliceMut::new(&mut mark)], &mut message, RecvFlags::CMSG_CLOEXEC)?;
+            uninterrupted(|| {
+                let mark = &mut [IoSliceMut::new(&mut mark)];
+                Ok(recvmsg(stream, mark, &mut message, RecvFlags::CMSG_CLOEXEC)?)
+            })?;
             let sockets = message.drain().find_map(|part| match part {
                 RecvAncillaryMessage::ScmRights(mut sockets) => sockets.next(),
                 _ => None,
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -16,6 +16,7 @@
 pub mod guard;
 pub mod handover;
 pub mod inbound;
+pub mod interrupts;
 pub mod keyed;
 pub mod learnt;
 pub mod lifecycle;
--- a/crates/runtime/src/operator.rs
+++ b/crates/runtime/src/operator.rs
@@ -4,6 +4,7 @@
 use super::events::{Command, Commands};
 use super::figures::Figures;
 use super::handover::Handover;
+use super::interrupts::{Uninterrupted, uninterrupted_async};
 use super::lifecycle::Lifecycle;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -67,7 +68,7 @@
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         loop {
             let permit = self.room().await;
-            match listener.accept().await {
+            match uninterrupted_async(async || listener.accept().await).await {
                 Ok((stream, _)) => {
                     let this = self.clone();
                     spawn_local(async move { this.connection(stream, permit).await });
@@ -100,7 +101,8 @@
         }
     }
 
-    async fn connection(&self, mut stream: TcpStream, _permit: Permit) {
+    async fn connection(&self, stream: TcpStream, _permit: Permit) {
+        let mut stream = Uninterrupted(stream);
         let number = self.next.get();
         self.next.set(number + 1);
         let leave = Rc::new(Notify::new());
@@ -155,7 +157,7 @@
 }
 
 /// A line without its end. A line that breaks off is none: half an id may be another endpoint's.
-async fn read_line(stream: &mut TcpStream) -> Option<Vec<u8>> {
+async fn read_line(stream: &mut Uninterrupted<TcpStream>) -> Option<Vec<u8>> {
     let (mut line, mut piece) = (Vec::new(), [0; 256]);
     loop {
         let count = stream.read(&mut piece).await.ok()?;
--- a/crates/runtime/src/socket.rs
+++ b/crates/runtime/src/socket.rs
@@ -1,6 +1,7 @@
 //! A TCP connection that notes what comes in, under hyper, which keeps that to itself.
 
 use super::figures::Figures;
+use super::interrupts::{is_retryable, uninterrupted};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -169,7 +170,7 @@
             match self.stream.try_read(&mut scratch) {
                 Ok(0) => return,
                 Ok(count) => taken += count,
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+                Err(e) if is_retryable(&e) => {}
                 Err(_) => return,
             }
         }
@@ -178,7 +179,8 @@
     /// Whether the kernel holds anything unread, or the end. Asked of it directly: the runtime only
     /// knows what its last look at all sockets has shown.
     pub fn pending(&self) -> bool {
-        let peeked = SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit(); 1]);
+        let socket = SockRef::from(&self.stream);
+        let peeked = uninterrupted(|| socket.peek(&mut [MaybeUninit::uninit(); 1]));
         !peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 }
@@ -207,7 +209,7 @@
                     }
                     return Poll::Ready(Ok(()));
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+                Err(e) if is_retryable(&e) => {}
                 Err(e) => return Poll::Ready(Err(e)),
             }
         }
@@ -227,12 +229,15 @@
         loop {
             ready!(self.0.stream.poll_write_ready(cx))?;
             let leave = self.0.leave.take();
-            if self.0.withheld.get() || leave.is_some_and(|leave| !leave()) {
+            if self.0.withheld.get() || leave.as_ref().is_some_and(|leave| !leave()) {
                 self.0.withheld.set(true);
                 return Poll::Ready(Err(io::ErrorKind::PermissionDenied.into()));
             }
             match self.0.stream.try_write_vectored(parts) {
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+                Err(e) if is_retryable(&e) => {
+                    // Nothing was written: it is asked anew before the next try.
+                    self.0.leave.replace(leave);
+                }
                 written => {
                     self.0.wrote.set(Instant::now());
                     if written.as_ref().is_ok_and(|count| *count > 0)
