--- a/crates/balance/src/balance.rs
+++ b/crates/balance/src/balance.rs
@@ -87,6 +87,10 @@
     coming: bool,
     /// Part of its body is gone: it can't be sent again.
     once: bool,
+    /// Attempts that this machine could open no connection for.
+    local_faults: u32,
+    /// After such a fault no attempt begins before this.
+    not_before: Duration,
 }
 
 struct Endpoint {
--- a/crates/balance/src/balance/attempts.rs
+++ b/crates/balance/src/balance/attempts.rs
@@ -14,6 +14,10 @@
 const REPEAT_LEAST: f64 = 0.1;
 /// Held requests are looked at again this often, besides whenever a call ends.
 const HOLD_RECHECK: Duration = Duration::from_millis(20);
+/// This machine's own faults pass within moments or not soon: after the first of a request another endpoint is tried at
+/// once, which may have a connection open, and after each further one it waits for so long, so that it uses up its
+/// attempts neither in one instant nor on the processor.
+const LOCAL_FAULT_WAIT: Duration = Duration::from_millis(100);
 /// Part of the objective, less the way back, after which what is worth nothing late holds servers in vain.
 const AIM_PART: f64 = 0.98;
 /// A tenant is over its share beyond this multiple of what the median tenant uses of its own.
@@ -46,6 +50,8 @@
             streaming: false,
             coming: request.body_coming,
             once: false,
+            local_faults: 0,
+            not_before: now,
         };
         self.requests.insert(id, pending);
         self.set_timer(time_left, Timer::Deadline(id), out);
@@ -99,7 +105,8 @@
             return self.give_up(id, out);
         }
         let (kind, arrived) = (Kind::new(pending.class, pending.part), pending.arrived);
-        let Some(i) = self.pick(now, id) else {
+        let waits = now < pending.not_before;
+        let Some(i) = (!waits).then(|| self.pick(now, id)).flatten() else {
             self.held.put(id, kind, arrived);
             return self.set_recheck(out);
         };
@@ -206,6 +213,11 @@
         let idle = attempt.idle;
         attempt.fate = if ended.outcome.never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
         let (class, coming) = (pending.class, pending.coming);
+        if ended.outcome == Outcome::LocalFault {
+            pending.local_faults += 1;
+            let wait = if pending.local_faults == 1 { Duration::ZERO } else { LOCAL_FAULT_WAIT };
+            pending.not_before = now + wait;
+        }
         if ended.outcome == Outcome::Ok && idle >= self.reaped_after {
             self.stale -= STALE_REFUTED;
         }
@@ -223,8 +235,10 @@
             self.finish(id, out);
         }
         let idle = self.requests.get(&id).is_some_and(|p| !p.settled() && p.none_out());
-        // What was withdrawn before its first byte is chosen anew, and no retry.
-        let cost = f64::from(u8::from(ended.outcome != Outcome::Moot));
+        // What was withdrawn before its first byte is chosen anew, and no retry; nor does a fault of this machine put
+        // any load on an endpoint.
+        let free = matches!(ended.outcome, Outcome::Moot | Outcome::LocalFault);
+        let cost = f64::from(u8::from(!free));
         if idle && self.retry_tokens >= cost && self.may_repeat(now, id) {
             self.retry_tokens -= cost;
             self.advance(now, id, out);
--- a/crates/balance/src/balance/learning.rs
+++ b/crates/balance/src/balance/learning.rs
@@ -60,6 +60,9 @@
     /// Lets an outcome speak for or against its endpoint.
     pub(super) fn learn(&mut self, now: Duration, class: usize, coming: bool, ended: &AttemptEnded) {
         let Some(&i) = self.index.get(&ended.endpoint) else { return };
+        if ended.outcome == Outcome::LocalFault {
+            return self.take_back(i, coming);
+        }
         let (elapsed, silent) = (ended.elapsed.as_secs_f64(), self.silent(now));
         let slow = elapsed > self.late_after(class);
         let late = match ended.outcome {
@@ -116,13 +119,22 @@
                     self.prove(now);
                 }
             }
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled | Outcome::Moot | Outcome::LocalFault => {}
             // It may drain, and the notice be on its way: nothing goes there until the list is heard again.
             Outcome::Full if self.list_old.is_some() => endpoint.add_heat(now, HEAT_MOST),
             _ => endpoint.add_heat(now, FAILURE_HEAT),
         }
     }
 
+    /// An attempt never left this machine: what is known of the endpoint, and of all of them, stays as it was.
+    fn take_back(&mut self, i: usize, coming: bool) {
+        let side = self.side(i);
+        let window = &mut self.windows[side];
+        window.out = window.out.saturating_sub(u32::from(!coming));
+        let endpoint = &mut self.endpoints[i];
+        endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
+    }
+
     /// Seconds after which an answer says that servers hold too much.
     fn late_after(&self, class: usize) -> f64 {
         let by_objective = self.settings.classes[class].objective.as_secs_f64() * LATE_PART;
--- a/crates/balance/src/types/events.rs
+++ b/crates/balance/src/types/events.rs
@@ -149,6 +149,9 @@
     TimedOut,
     /// No connection came up.
     ConnectFailed,
+    /// This machine itself could open no connection: it has no descriptor, port, memory or route for one. That says
+    /// nothing of the endpoint.
+    LocalFault,
     /// The connection broke; it may have run.
     Reset,
     /// Cancelled; it may have run.
@@ -160,6 +163,6 @@
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::LocalFault | Outcome::Moot)
     }
 }
--- a/crates/balance/tests/properties.rs
+++ b/crates/balance/tests/properties.rs
@@ -24,7 +24,7 @@
         4 => (0u64..60).prop_map(Step::Wait),
         6 => (0usize..4, 0usize..3, 0u64..900)
             .prop_map(|(class, tenant, left)| Step::Request { class, tenant, left }),
-        6 => (any::<usize>(), 0u8..8, 0u64..900)
+        6 => (any::<usize>(), 0u8..9, 0u64..900)
             .prop_map(|(which, outcome, elapsed)| Step::End { which, outcome, elapsed }),
         2 => Just(Step::TimeOutOverdue),
         1 => any::<usize>().prop_map(Step::Gone),
@@ -43,6 +43,7 @@
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
+        7 => Outcome::LocalFault,
         _ => Outcome::Moot,
     }
 }
--- a/crates/balance/tests/rules.rs
+++ b/crates/balance/tests/rules.rs
@@ -35,7 +35,7 @@
 
 #[test]
 fn rule_2_unsafe_is_sent_again_only_if_it_never_ran() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed] {
+    for outcome in [Outcome::Full, Outcome::ConnectFailed, Outcome::LocalFault] {
         let mut d = Driver::new(with_class(Semantics::Unsafe), endpoints(3));
         let (id, _) = d.request(ms(900));
         assert_eq!(sends(&d.end(id, outcome, ms(1))).len(), 1, "{outcome:?} proves that it never ran");
--- a/crates/curlewhub/src/member.rs
+++ b/crates/curlewhub/src/member.rs
@@ -50,7 +50,7 @@
             Outcome::ConnectFailed | Outcome::Reset => Ended::Gone,
             Outcome::Full => Ended::Full,
             Outcome::Error => Ended::Error,
-            Outcome::Cancelled | Outcome::Moot => Ended::Moot,
+            Outcome::Cancelled | Outcome::Moot | Outcome::LocalFault => Ended::Moot,
         };
         self.witness.borrow_mut().ended((attempt.0.0, attempt.1.0), how, took);
     }
--- a/crates/model/src/world/control_plane.rs
+++ b/crates/model/src/world/control_plane.rs
@@ -90,7 +90,7 @@
             Outcome::ConnectFailed | Outcome::Reset => Ended::Gone,
             Outcome::Full => Ended::Full,
             Outcome::Error => Ended::Error,
-            Outcome::Cancelled | Outcome::Moot => Ended::Moot,
+            Outcome::Cancelled | Outcome::Moot | Outcome::LocalFault => Ended::Moot,
         };
         control_plane.fleet.ended(
             self.processes[process].sidecar,
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -599,6 +599,9 @@
             spawn_local(async move {
                 let ended =
                     timeout(within, outbound.probe(endpoint, address)).await.map(|ended| ended.outcome);
+                if matches!(ended, Ok(Outcome::LocalFault)) {
+                    return; // nobody was asked
+                }
                 // Whatever it says, somebody is there who says it.
                 sight.probed(zone, matches!(ended, Ok(Outcome::Ok | Outcome::Error | Outcome::Full)));
             });
@@ -653,6 +656,7 @@
         Outcome::Full => "turned away",
         Outcome::TimedOut => "timed out",
         Outcome::ConnectFailed => "not connected",
+        Outcome::LocalFault => "fault of this machine",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
         Outcome::Moot => "moot",
