--- /dev/null
+++ b/crates/curlewhub/tests/local_faults.rs
@@ -0,0 +1,179 @@
+//! The built sidecar while its own machine fails it: no endpoint is blamed for that, and a broken connection costs no
+//! more than what was on it.
+
+#[path = "support/mod.rs"]
+mod support;
+
+use curlewhub_fault_schedule::{Call, Entry, Errno, Injection, Origin, Schedule, Strikes, Switch, Target};
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+use support::*;
+
+const AGED_LOG: &str = "aged connections are reset";
+/// How long an idle connection lies before it counts as aged, with room to spare.
+const AGES: Duration = Duration::from_millis(150);
+
+/// A sidecar whose system calls can fail, and the endpoints that it calls.
+struct Bench {
+    sidecar: Sidecar,
+    injection: Injection,
+    _peers: Vec<Peer>,
+    folder: std::path::PathBuf,
+}
+
+impl Drop for Bench {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
+
+impl Bench {
+    /// With one fault that is off until it is switched on.
+    fn with(name: &str, entry: impl FnOnce(Vec<SocketAddr>) -> Entry) -> Bench {
+        let folder = std::env::temp_dir().join(format!("curlewhub-local-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&folder).unwrap();
+        let peers: Vec<Peer> = (0..4).map(|_| Peer::serving("ok")).collect();
+        let entry = entry(peers.iter().map(|peer| peer.address).collect());
+        let program = Some("curlewhub".to_owned());
+        let schedule = Schedule { seed: 1, program, origin: Origin::Activation, entries: vec![entry] };
+        let injection = Injection::new(&schedule, &folder, "sidecar").unwrap();
+        let config = operated(&peers.iter().collect::<Vec<_>>());
+        let sidecar = Sidecar::start_with(&config, &injection.shell_prefix());
+        Bench { sidecar, injection, _peers: peers, folder }
+    }
+
+    fn switch(&self, switch: Switch) {
+        self.injection.switch(0, switch).unwrap();
+    }
+
+    /// One request on a connection of its own; none where the connection ended without an answer.
+    fn ask(&self, id: &str) -> Option<u16> {
+        let mut client = Client::connect(self.sidecar.address).expect("it accepts");
+        client.send(&request("book", id, "2000m"));
+        client.receive().map(|answer| answer.status())
+    }
+
+    /// Asks until the fault has struck so often; how many were asked, and how many of them not answered.
+    fn ask_until_struck(&self, times: u64) -> (usize, usize) {
+        let (mut asked, mut unanswered) = (0, 0);
+        wait_for("the fault", || {
+            asked += 1;
+            unanswered += usize::from(self.ask(&format!("s{asked}")).is_none());
+            self.injection.struck(0).unwrap() >= times
+        });
+        (asked, unanswered)
+    }
+}
+
+fn connecting(errno: Errno) -> impl FnOnce(Vec<SocketAddr>) -> Entry {
+    move |peers| Entry { target: Target::Connected(peers), ..Entry::fails(&[Call::Connect], errno) }
+}
+
+fn reading(target: Target, errno: Errno, strikes: Strikes) -> Entry {
+    Entry { target, strikes, ..Entry::fails(&[Call::Recv], errno) }
+}
+
+/// No connection is up when the fault begins, and none comes up for 3 s.
+fn nobody_is_ejected(name: &str, errno: Errno) {
+    let bench = Bench::with(name, connecting(errno));
+    bench.switch(Switch::On);
+    let (began, mut asked) = (Instant::now(), 0);
+    while began.elapsed() < Duration::from_secs(3) {
+        asked += 1;
+        assert_eq!(bench.ask(&format!("d{asked}")), Some(503), "refused: it may be tried again");
+        assert_eq!(bench.sidecar.figure("hosts_down"), 0, "after {asked} requests");
+    }
+    let struck = bench.injection.struck(0).unwrap();
+    assert!(struck >= asked, "each was tried");
+    assert!(struck <= asked * 4, "and no more often than its attempts: {struck} for {asked}");
+    bench.switch(Switch::Off);
+    for n in 0..20 {
+        assert_eq!(bench.ask(&format!("a{n}")), Some(200), "served again at once");
+    }
+}
+
+#[test]
+fn without_a_port_no_endpoint_is_ejected_and_service_is_back() {
+    nobody_is_ejected("port", Errno::Eaddrnotavail);
+}
+
+#[test]
+fn without_a_route_no_endpoint_is_ejected_and_service_is_back() {
+    nobody_is_ejected("route", Errno::Enetunreach);
+}
+
+#[test]
+fn without_buffers_no_endpoint_is_ejected_and_service_is_back() {
+    nobody_is_ejected("buffers", Errno::Enobufs);
+}
+
+#[test]
+fn a_fault_that_ends_within_a_request_s_waits_costs_it_nothing() {
+    let bench = Bench::with("moment", |peers| Entry {
+        at_most: Some(2),
+        ..connecting(Errno::Eaddrnotavail)(peers)
+    });
+    bench.switch(Switch::On);
+    assert_eq!(bench.ask("one"), Some(200));
+    assert_eq!(bench.injection.struck(0).unwrap(), 2);
+}
+
+#[test]
+fn interrupted_calls_lose_nothing_and_teach_nothing_of_age() {
+    let strikes = Strikes::EveryNth(2);
+    let bench = Bench::with("interrupts", |_| Entry {
+        strikes,
+        ..Entry::fails(&[Call::Recv, Call::Send], Errno::Eintr)
+    });
+    bench.switch(Switch::On);
+    let mut client = Client::connect(bench.sidecar.address).unwrap();
+    for n in 0..20 {
+        assert_eq!(client.ask("book", &format!("i{n}")).status(), 200);
+        std::thread::sleep(AGES);
+    }
+    assert!(bench.injection.struck(0).unwrap() >= 40);
+    assert!(!bench.sidecar.log().contains(AGED_LOG), "{}", bench.sidecar.log());
+}
+
+#[test]
+fn aged_connections_that_break_on_this_machine_s_side_teach_nothing_of_age() {
+    for (name, errno) in [("memory", Errno::Enomem), ("host", Errno::Ehostunreach)] {
+        let bench = Bench::with(name, |peers| reading(Target::Connected(peers), errno, Strikes::Each));
+        for n in 0..8 {
+            assert_eq!(bench.ask(&format!("w{n}")), Some(200));
+            std::thread::sleep(AGES);
+            bench.switch(Switch::On);
+            assert!(bench.ask(&format!("b{n}")).is_some(), "answered as failed, and answered");
+            bench.switch(Switch::Off);
+        }
+        assert!(bench.injection.struck(0).unwrap() >= 8);
+        assert!(!bench.sidecar.log().contains(AGED_LOG), "{}", bench.sidecar.log());
+    }
+}
+
+#[test]
+fn a_broken_connection_to_an_endpoint_leaves_no_client_unanswered() {
+    for (name, errno) in [("e-host", Errno::Ehostunreach), ("e-time", Errno::Etimedout)] {
+        let every = Strikes::EveryNth(5);
+        let bench = Bench::with(name, |peers| reading(Target::Connected(peers), errno, every));
+        bench.switch(Switch::On);
+        let (asked, unanswered) = bench.ask_until_struck(20);
+        assert_eq!(unanswered, 0, "{errno:?}: of {asked}");
+    }
+}
+
+#[test]
+fn a_broken_connection_to_a_client_is_the_client_s_end_and_nobody_else_s() {
+    for (name, errno) in [("c-host", Errno::Ehostunreach), ("c-time", Errno::Etimedout)] {
+        let every = Strikes::EveryNth(5);
+        let bench = Bench::with(name, |_| reading(Target::Accepted, errno, every));
+        bench.switch(Switch::On);
+        let (asked, unanswered) = bench.ask_until_struck(20);
+        let struck = bench.injection.struck(0).unwrap();
+        eprintln!("{errno:?}: of {asked} unanswered {unanswered}, {struck} connections broken");
+        assert!(unanswered as u64 <= struck, "{errno:?}: {unanswered} with {struck} connections broken");
+        assert_eq!(bench.sidecar.figure("hosts_down"), 0);
+        bench.switch(Switch::Off);
+        assert_eq!(bench.ask("after"), Some(200));
+    }
+}
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod bans;
 pub mod budget;
 pub mod clock;
+pub mod connect;
 pub mod discovery;
 pub mod driver;
 pub mod events;
--- a/crates/runtime/src/outbound.rs
+++ b/crates/runtime/src/outbound.rs
@@ -1,6 +1,7 @@
 //! Connections to endpoints: attempts and probes, and how they end.
 
 use super::budget::{Budget, Holder, Permit};
+use super::connect::{ConnectError, Routes, connect};
 use super::events::{Client, Ended};
 use super::figures::Figures;
 use super::guard::Guard;
@@ -17,14 +18,12 @@
 use hyper_util::rt::TokioIo;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
-use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::pin::pin;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
-use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
@@ -172,6 +171,9 @@
     idle: RefCell<HashMap<EndpointId, Vec<Link>>>,
     /// What waits for resting connections have added up to.
     spares: RefCell<Spares>,
+    /// Endpoints that this machine had no way to.
+    routes: RefCell<Routes>,
+    since: Instant,
     connect_timeout: Duration,
     idle_most: Duration,
     /// What speaks against aged connections, and until when they are not used.
@@ -199,6 +201,8 @@
             shut: Notify::new(),
             idle: RefCell::default(),
             spares: RefCell::default(),
+            routes: RefCell::default(),
+            since: Instant::now(),
             aged_resets: Cell::default(),
             aged_until: Cell::default(),
             connect_timeout: or(connect, CONNECT_UNSTATED),
@@ -274,7 +278,8 @@
                 read = exchange => read,
                 () = stalled(&link.heard, &ahead, &headed) => (None, None),
             };
-            if !fresh && idle >= AGED {
+            // What breaks on the way, or at this machine, says nothing of age.
+            if !fresh && idle >= AGED && !link.heard.broke_elsewhere() {
                 self.learn_aged(read.is_none() && link.heard.began().is_none());
             }
             if link.heard.withheld() {
@@ -301,6 +306,9 @@
                     return Ended { outcome: Outcome::Ok, body, report };
                 }
                 (None, true, _) => return Ended::bare(Outcome::Reset),
+                (None, false, true) if link.heard.broke_locally() => {
+                    return Ended::bare(Outcome::LocalFault);
+                }
                 (None, false, true) => return Ended::bare(Outcome::ConnectFailed),
                 (None, false, false) => {} // a kept connection says nothing of its endpoint: another one
             }
@@ -388,7 +396,10 @@
         let mut doors = self.doors.borrow_mut();
         let before = match at {
             Some(at) => doors.insert(endpoint, at),
-            None => doors.remove(&endpoint),
+            None => {
+                self.routes.borrow_mut().forget(endpoint);
+                doors.remove(&endpoint)
+            }
         };
         if before.is_some() && before != at {
             self.shut.notify_waiters();
@@ -529,7 +540,7 @@
     async fn open_spare(&self, endpoint: EndpointId, address: SocketAddr) {
         let Ok(slot) = self.slots.try_take(endpoint) else { return };
         let Some(permit) = self.budget.take(Holder::Endpoint) else { return };
-        let Ok(link) = self.open(address, slot, permit).await else { return };
+        let Ok(link) = self.open(endpoint, address, slot, permit).await else { return };
         // It may have been left, or have moved, in the meantime.
         if self.admits(endpoint, address) {
             debug!(endpoint = endpoint.0, "one more connection, for requests that waited");
@@ -546,27 +557,33 @@
             match self.budget.take(Holder::Endpoint) {
                 Some(permit) => break permit,
                 None if self.close_oldest_idle() => {}
-                None => return Err(NoLink::Ends(Outcome::ConnectFailed)),
+                // No descriptor is left to this process.
+                None => return Err(NoLink::Ends(Outcome::LocalFault)),
             }
         };
-        self.open(address, slot, permit).await
+        self.open(endpoint, address, slot, permit).await
     }
 
     /// Opens a connection in a place that it has.
-    async fn open(&self, address: SocketAddr, slot: Slot, permit: Permit) -> Result<Link, NoLink> {
+    async fn open(
+        &self,
+        endpoint: EndpointId,
+        address: SocketAddr,
+        slot: Slot,
+        permit: Permit,
+    ) -> Result<Link, NoLink> {
         const FAILED: NoLink = NoLink::Ends(Outcome::ConnectFailed);
-        // A machine that is cut off never answers: without a limit of ours the attempt would hang.
-        let stream = match timeout(self.connect_timeout, TcpStream::connect(address)).await {
-            Ok(Ok(stream)) => stream,
-            Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => {
+        let stream = match connect(address, self.connect_timeout).await {
+            Ok(stream) => stream,
+            Err(ConnectError::Refused) => {
                 return Err(match slot.refused() {
                     Refusal::Full => NoLink::Ends(Outcome::Full),
                     Refusal::Unknown => FAILED,
                 });
             }
-            Ok(Err(_)) | Err(_) => return Err(FAILED),
+            Err(error) => return Err(NoLink::Ends(self.outcome_of(endpoint, &error))),
         };
-        stream.set_nodelay(true).map_err(|_| FAILED)?;
+        self.routes.borrow_mut().connects(self.since.elapsed(), endpoint);
         let (socket, heard) = Socket::new(stream);
         let handshake = http1::Builder::new().max_buf_size(BUFFER_MOST).handshake(TokioIo::new(socket));
         let (sender, connection) = handshake.await.map_err(|_| FAILED)?;
@@ -585,6 +602,20 @@
         })
     }
 
+    /// What becomes of an attempt for which no connection came up.
+    fn outcome_of(&self, endpoint: EndpointId, error: &ConnectError) -> Outcome {
+        let local = match error {
+            ConnectError::Resources(_) => true,
+            ConnectError::Route(_) => {
+                let listed = self.doors.borrow().len();
+                self.routes.borrow_mut().is_local(self.since.elapsed(), endpoint, listed)
+            }
+            ConnectError::Refused | ConnectError::TimedOut(_) | ConnectError::Failed(_) => false,
+        };
+        debug!(endpoint = endpoint.0, %error, local, "no connection");
+        if local { Outcome::LocalFault } else { Outcome::ConnectFailed }
+    }
+
     fn inline_report(&self, headers: &HeaderMap) -> Option<Vec<f64>> {
         self.report(headers.get("x-server-load")?.to_str().ok()?)
     }
--- a/crates/runtime/src/socket.rs
+++ b/crates/runtime/src/socket.rs
@@ -1,5 +1,6 @@
 //! A TCP connection that notes what comes in, under hyper, which keeps that to itself.
 
+use super::connect::is_local;
 use super::figures::Figures;
 use super::interrupts::{is_retryable, uninterrupted};
 use socket2::SockRef;
@@ -36,10 +37,34 @@
     awaiting: RefCell<Option<Rc<Figures>>>,
     /// Asked right before the first byte is written of what goes out next.
     leave: RefCell<Option<Leave>>,
+    /// What a read or write failed with.
+    broke: Cell<Option<Break>>,
     /// It said no: nothing of that was written, and nothing more is.
     withheld: Cell<bool>,
 }
 
+/// Where a connection broke.
+#[derive(Clone, Copy, PartialEq)]
+enum Break {
+    /// The other side ended or reset it.
+    Peer,
+    /// The network gave it up: the other side can't be reached, or has not answered for long.
+    Network,
+    /// This machine is out of something.
+    Local,
+}
+
+impl Break {
+    fn of(error: &io::Error) -> Self {
+        use io::ErrorKind::{HostUnreachable, NetworkDown, NetworkUnreachable, TimedOut};
+        match error.kind() {
+            _ if is_local(error) => Break::Local,
+            HostUnreachable | NetworkDown | NetworkUnreachable | TimedOut => Break::Network,
+            _ => Break::Peer,
+        }
+    }
+}
+
 /// Whether what is about to be written may still go.
 pub type Leave = Box<dyn Fn() -> bool>;
 
@@ -95,6 +120,7 @@
             framing: RefCell::default(),
             awaiting: RefCell::default(),
             leave: RefCell::default(),
+            broke: Cell::default(),
             withheld: Cell::default(),
         });
         (Socket(heard.clone()), heard)
@@ -151,6 +177,16 @@
         self.withheld.get()
     }
 
+    /// Whether it broke without the other side's doing.
+    pub fn broke_elsewhere(&self) -> bool {
+        matches!(self.broke.get(), Some(Break::Local | Break::Network))
+    }
+
+    /// Whether it broke by a fault of this machine.
+    pub fn broke_locally(&self) -> bool {
+        self.broke.get() == Some(Break::Local)
+    }
+
     /// What is still to be written is of no use, and a plain end would pass for a whole answer: the connection is
     /// reset as it is closed.
     pub fn resets(&self) {
@@ -210,7 +246,10 @@
                     return Poll::Ready(Ok(()));
                 }
                 Err(e) if is_retryable(&e) => {}
-                Err(e) => return Poll::Ready(Err(e)),
+                Err(e) => {
+                    heard.broke.set(Some(Break::of(&e)));
+                    return Poll::Ready(Err(e));
+                }
             }
         }
     }
@@ -239,6 +278,9 @@
                     self.0.leave.replace(leave);
                 }
                 written => {
+                    if let Err(e) = &written {
+                        self.0.broke.set(Some(Break::of(e)));
+                    }
                     self.0.wrote.set(Instant::now());
                     if written.as_ref().is_ok_and(|count| *count > 0)
                         && let Some(figures) = self.0.awaiting.take()
