--- a/crates/curlewhub/tests/local_faults.rs
+++ b/crates/curlewhub/tests/local_faults.rs
@@ -17,7 +17,7 @@
 struct Bench {
     sidecar: Sidecar,
     injection: Injection,
-    _peers: Vec<Peer>,
+    peers: Vec<Peer>,
     folder: std::path::PathBuf,
 }
 
@@ -39,7 +39,7 @@
         let injection = Injection::new(&schedule, &folder, "sidecar").unwrap();
         let config = operated(&peers.iter().collect::<Vec<_>>());
         let sidecar = Sidecar::start_with(&config, &injection.shell_prefix());
-        Bench { sidecar, injection, _peers: peers, folder }
+        Bench { sidecar, injection, peers, folder }
     }
 
     fn switch(&self, switch: Switch) {
@@ -138,19 +138,35 @@
 #[test]
 fn aged_connections_that_break_on_this_machine_s_side_teach_nothing_of_age() {
     for (name, errno) in [("memory", Errno::Enomem), ("host", Errno::Ehostunreach)] {
-        let bench = Bench::with(name, |peers| reading(Target::Connected(peers), errno, Strikes::Each));
-        for n in 0..8 {
-            assert_eq!(bench.ask(&format!("w{n}")), Some(200));
-            std::thread::sleep(AGES);
-            bench.switch(Switch::On);
+        // The look at an idle connection passes, and the read of the answer fails.
+        let every = Strikes::EveryNth(2);
+        let bench = Bench::with(name, |peers| reading(Target::Connected(peers), errno, every));
+        bench.switch(Switch::On);
+        for n in 0..16 {
             assert!(bench.ask(&format!("b{n}")).is_some(), "answered as failed, and answered");
-            bench.switch(Switch::Off);
+            std::thread::sleep(AGES);
         }
         assert!(bench.injection.struck(0).unwrap() >= 8);
         assert!(!bench.sidecar.log().contains(AGED_LOG), "{}", bench.sidecar.log());
     }
 }
 
+#[test]
+fn a_fault_of_this_machine_turns_no_calls_away_from_the_endpoint_that_it_struck() {
+    let bench = Bench::with("struck", |peers| Entry {
+        at_most: Some(1),
+        ..connecting(Errno::Enobufs)(peers[..1].to_vec())
+    });
+    bench.switch(Switch::On);
+    let (asked, unanswered) = bench.ask_until_struck(1);
+    assert_eq!(unanswered, 0, "of {asked}");
+    let before = bench.peers[0].count();
+    for n in 0..60 {
+        assert_eq!(bench.ask(&format!("t{n}")), Some(200));
+    }
+    assert!(bench.peers[0].count() > before, "one of four endpoints that nothing tells apart");
+}
+
 #[test]
 fn a_broken_connection_to_an_endpoint_leaves_no_client_unanswered() {
     for (name, errno) in [("e-host", Errno::Ehostunreach), ("e-time", Errno::Etimedout)] {
