--- a/crates/curlewhub/src/member.rs
+++ b/crates/curlewhub/src/member.rs
@@ -193,11 +193,11 @@
         }
     }
 
-    /// Says that this process goes, so that nobody has to find that out.
-    pub async fn leave(self) {
-        if let Some((leave, left)) = self.leave {
+    /// Says that this process goes, so that nobody has to find that out; SIGKILL may come after `left`.
+    pub async fn leave(self, left: Duration) {
+        if let Some((leave, gone)) = self.leave {
             let _ = leave.send(());
-            let _ = timeout(LEAVE_MOST, left).await; // who has not heard it finds out
+            let _ = timeout(LEAVE_MOST.min(left), gone).await; // who has not heard it finds out
         }
     }
 }
--- a/crates/curlewhub/src/serve.rs
+++ b/crates/curlewhub/src/serve.rs
@@ -69,7 +69,9 @@
         .map_err(|e| format!("settings: {e}"))?;
     let budget = Budget::new(config.sockets, config.memory_mb);
     let figures = Figures::new(config.names.classes.iter().map(|class| class.name.clone()));
-    let lifecycle = Lifecycle::new();
+    let longest_deadline =
+        config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
+    let lifecycle = Lifecycle::new(longest_deadline);
     let (commands, commanded) = mpsc::unbounded_channel();
     let handover =
         Handover::new(&config.state_dir, config.listen, config.sockets, budget.clone(), commands.clone());
@@ -125,10 +127,15 @@
         }
         None => {
             let _ = inbox.send(Input::List(listing.news(config.known.clone())));
-            let linger = config.settings.classes.iter().map(|class| class.deadline).max();
             let targets = config.known.targets.clone();
-            let linger = linger.unwrap_or_default();
-            spawn_local(static_list::run(targets, linger, clock, listing.clone(), asked, inbox.clone()));
+            spawn_local(static_list::run(
+                targets,
+                longest_deadline,
+                clock,
+                listing.clone(),
+                asked,
+                inbox.clone(),
+            ));
             None
         }
     };
@@ -176,7 +183,8 @@
             _ = hup.recv() => reloader.file(),
         }
     }
-    fleet.leave().await;
+    let left = lifecycle.shutdown().map(|end| end.kill().saturating_duration_since(Instant::now()));
+    fleet.leave(left.unwrap_or_default()).await;
     Ok(())
 }
 
--- a/crates/curlewhub/tests/support/script.rs
+++ b/crates/curlewhub/tests/support/script.rs
@@ -154,6 +154,16 @@
         self.rest(PATIENCE).1
     }
 
+    /// Whether the other side has ended, with nothing unread ahead of that: looks and does not wait.
+    pub fn has_ended(&self) -> bool {
+        let stream = self.reader.get_ref();
+        stream.set_nonblocking(true).unwrap();
+        let seen = stream.peek(&mut [0; 1]);
+        stream.set_nonblocking(false).unwrap();
+        self.reader.buffer().is_empty()
+            && seen.map_or_else(|e| e.kind() != std::io::ErrorKind::WouldBlock, |count| count == 0)
+    }
+
     /// Whether something has come that was not read.
     pub fn has_more(&mut self, time: Duration) -> bool {
         self.reader.get_ref().set_read_timeout(Some(time.max(Duration::from_millis(1)))).unwrap();
--- a/crates/runtime/src/inbound/connection.rs
+++ b/crates/runtime/src/inbound/connection.rs
@@ -143,6 +143,14 @@
         self.heard.began().filter(|_| waits).map(|at| at.elapsed())
     }
 
+    /// The process ends: a client must be able to tell that an answer still on its way is not whole, also where that has
+    /// no length.
+    pub(super) fn cut_off(&self) {
+        if matches!(self.stage.get(), Stage::Answering | Stage::Closing) {
+            self.heard.resets();
+        }
+    }
+
     /// When a request that has begun to come, or the first one, began.
     pub(super) fn request_start(&self) -> Instant {
         match (self.stage.get(), self.heard.began()) {
@@ -177,11 +185,16 @@
             biased;
             () = turn.heard.linger(LINGER_MOST) => {}
             () = turn.room.notified() => {}
-            () = sleep(LINGER) => {}
+            () = sleep(self.before_the_end(LINGER)) => {}
         }
         self.connections.borrow_mut().remove(&number);
     }
 
+    /// How long something may take on a connection, less where the process is to end sooner.
+    fn before_the_end(&self, wanted: Duration) -> Duration {
+        self.lifecycle.shutdown().map_or(wanted, |end| end.bound(wanted, Instant::now()))
+    }
+
     /// Whether a connection that is to be closed can be: not where a request, or a part of one, came in the meantime
     /// and lies unread. That one is served, as the connection's last.
     fn is_over(&self, turn: &Turn) -> bool {
@@ -222,7 +235,7 @@
                     } else if drains && turn.stage() == Stage::Fresh {
                         // The first request is as good as taken: to close now would lose what the
                         // client is just writing.
-                        fresh_until.get_or_insert_with(|| Instant::now() + FRESH_WAIT);
+                        fresh_until.get_or_insert_with(|| Instant::now() + self.before_the_end(FRESH_WAIT));
                     } else if self.is_over(turn) {
                         if turn.closes() {
                             connection.as_mut().graceful_shutdown();
--- a/crates/runtime/src/inbound/exchange.rs
+++ b/crates/runtime/src/inbound/exchange.rs
@@ -225,6 +225,9 @@
         }
         // The client counts from its last byte.
         let came = Instant::now();
+        if self.lifecycle.shutdown().is_some_and(|end| end.is_failing(came)) {
+            return Err((StatusCode::SERVICE_UNAVAILABLE, "the process ends"));
+        }
         let id = RequestId(self.next.get());
         self.next.set(id.0 + 1);
         request.id = id;
--- a/crates/runtime/src/inbound/mod.rs
+++ b/crates/runtime/src/inbound/mod.rs
@@ -10,6 +10,7 @@
 use crate::handover::Handover;
 use crate::lifecycle::{Lifecycle, State};
 use crate::outbound::Outbound;
+use crate::shutdown::{Phase, ShutdownDeadline};
 use connection::{Stage, Turn};
 use curlewhub_balance::Settings;
 use curlewhub_config::Names;
@@ -25,8 +26,6 @@
 
 /// Wait after a failed accept: out of descriptors it would fail again at once, and spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// New connections come for up to 0.4 s after SIGTERM, so we accept for a little longer.
-const DRAIN_ACCEPT: Duration = Duration::from_millis(500);
 /// The backlog is empty once nothing has come out of it for this long.
 const BACKLOG_EMPTY: Duration = Duration::from_millis(30);
 /// Where room is wanted, connections are closed that have been between requests for this long ...
@@ -38,18 +37,8 @@
 /// Told by an operator to drain, idle connections are closed from this long after the call on: none may
 /// be idle 4 s after it, nor have brought a request in the 2 s before that. New ones come for 0.3 s.
 const DRAIN_IDLE: Duration = Duration::from_millis(1500);
-/// Told to end while a successor accepts in its stead, a process keeps idle connections for so long: the
-/// next answer on each is its last, which loses no request, while closing may cross one. SIGKILL comes no
-/// sooner than 3.7 s after SIGTERM.
-const HANDED_OVER_IDLE: Duration = Duration::from_millis(2500);
 /// How often idle connections are looked for then.
 const DRAIN_CHECK: Duration = Duration::from_millis(100);
-/// SIGKILL comes no sooner than the longest deadline, but at most `DEADLINE_MOST`, and 0.7 s more:
-/// what is open this long after it is failed, which leaves the answers time to go out.
-const DRAIN_SLACK: Duration = Duration::from_millis(450);
-const DEADLINE_MOST: Duration = Duration::from_secs(3);
-/// The last answers go out within this.
-const LAST_ANSWERS: Duration = Duration::from_millis(150);
 
 /// What all clients' connections share.
 pub struct Inbound {
@@ -110,35 +99,37 @@
             () = self.lifecycle.reaches(|state| state != State::Starting) => {}
             () = handover.alone() => {}
         }
-        loop {
+        let end = loop {
             tokio::select! {
-                () = self.lifecycle.reaches(|state| state == State::Terminating) => break,
+                end = self.lifecycle.told_to_end() => break end,
                 () = self.accept(&listener) => {}
             }
-        }
-        let asked = Instant::now();
+        };
+        self.shut_down(listener, &handover, end).await;
+    }
+
+    /// Answers what has been taken, and ends all connections before SIGKILL may come.
+    async fn shut_down(self: &Rc<Self>, listener: TcpListener, handover: &Handover, end: ShutdownDeadline) {
         info!(clients = self.budget.clients(), "draining");
-        let handed_over = handover.has_successor();
-        while !handed_over && timeout_at(asked + DRAIN_ACCEPT, self.accept(&listener)).await.is_ok() {}
-        let longest = self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
-        let until = asked + longest.min(DEADLINE_MOST) + DRAIN_SLACK;
-        // What still waits in the backlog counts as taken: closing the listener would reset it. A successor
-        // accepts from the same backlog.
-        while !handed_over
-            && Instant::now() < until
-            && timeout(BACKLOG_EMPTY, self.accept(&listener)).await.is_ok()
-        {}
+        let succeeded = handover.has_successor();
+        let drains = end.begins(Phase::Draining, succeeded);
+        let fails = end.begins(Phase::Failing, succeeded);
+        if !succeeded {
+            while timeout_at(drains, self.accept(&listener)).await.is_ok() {}
+            // What still waits in the backlog counts as taken: closing the listener would reset it. A successor
+            // accepts from the same backlog.
+            while Instant::now() < fails && timeout(BACKLOG_EMPTY, self.accept(&listener)).await.is_ok() {}
+        }
         drop(listener);
         handover.withdraw();
-        if handed_over {
-            let _ = timeout_at(asked + HANDED_OVER_IDLE, self.all_gone()).await;
-        }
+        let _ = timeout_at(drains, self.all_gone()).await;
         self.connections.borrow().values().for_each(|turn| turn.close.notify_one());
-        if timeout_at(until, self.all_gone()).await.is_err() {
+        if timeout_at(fails, self.all_gone()).await.is_err() {
             let _ = self.inbox.send(Input::GiveUp);
-            let _ = timeout(LAST_ANSWERS, self.all_gone()).await;
+            let _ = timeout_at(end.begins(Phase::Exiting, succeeded), self.all_gone()).await;
         }
-        info!(millis = asked.elapsed().as_millis() as u64, "drained");
+        self.connections.borrow().values().for_each(|turn| turn.cut_off());
+        info!(millis = end.asked().elapsed().as_millis() as u64, "drained");
     }
 
     /// While an operator has the sidecar drained, closes connections between requests.
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -23,6 +23,7 @@
 pub mod operator;
 pub mod outbound;
 pub mod sharing;
+pub mod shutdown;
 pub mod sight;
 pub mod slots;
 pub mod socket;
--- a/crates/runtime/src/lifecycle.rs
+++ b/crates/runtime/src/lifecycle.rs
@@ -1,8 +1,10 @@
 //! Where the process stands between its start and its end. Everything that asks whether it serves
 //! (`/-/ready`, the operators' calls, the signals) asks here and nowhere else.
 
+use super::shutdown::ShutdownDeadline;
 use std::cell::Cell;
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::Instant;
 use tracing::info;
@@ -25,21 +27,23 @@
 enum Order {
     Serve,
     Drain(Instant),
-    End(Instant),
+    End(ShutdownDeadline),
 }
 
 /// The state, and who changes it.
 pub struct Lifecycle {
     complete: Cell<bool>,
     order: Cell<Order>,
+    /// The longest deadline of all classes: the time between SIGTERM and SIGKILL depends on it.
+    longest_deadline: Duration,
     changed: Notify,
 }
 
 impl Lifecycle {
-    /// A process that is starting.
-    pub fn new() -> Rc<Self> {
+    /// A process that is starting, with classes of this longest deadline.
+    pub fn new(longest_deadline: Duration) -> Rc<Self> {
         let (complete, order) = (Cell::new(false), Cell::new(Order::Serve));
-        Rc::new(Lifecycle { complete, order, changed: Notify::new() })
+        Rc::new(Lifecycle { complete, order, longest_deadline, changed: Notify::new() })
     }
 
     /// The state now.
@@ -61,7 +65,26 @@
     pub fn draining_since(&self) -> Option<Instant> {
         match self.order.get() {
             Order::Serve => None,
-            Order::Drain(at) | Order::End(at) => Some(at),
+            Order::Drain(at) => Some(at),
+            Order::End(end) => Some(end.asked()),
+        }
+    }
+
+    /// The end of a process that was told to end.
+    pub fn shutdown(&self) -> Option<ShutdownDeadline> {
+        match self.order.get() {
+            Order::End(end) => Some(end),
+            Order::Serve | Order::Drain(_) => None,
+        }
+    }
+
+    /// Waits until the process is told to end; when that has to be.
+    pub async fn told_to_end(&self) -> ShutdownDeadline {
+        loop {
+            self.reaches(|state| state == State::Terminating).await;
+            if let Some(end) = self.shutdown() {
+                return end;
+            }
         }
     }
 
@@ -97,7 +120,8 @@
     /// The process is to end.
     pub fn terminate(&self) {
         if !matches!(self.order.get(), Order::End(_)) {
-            self.order.set(Order::End(Instant::now()));
+            let end = ShutdownDeadline::new(Instant::now(), self.longest_deadline);
+            self.order.set(Order::End(end));
             self.tell();
         }
     }
@@ -127,7 +151,7 @@
 
     #[test]
     fn a_drain_can_be_undone_and_an_end_can_not() {
-        let life = Lifecycle::new();
+        let life = Lifecycle::new(Duration::from_secs(1));
         assert_eq!(life.state(), State::Starting);
         assert!(!life.rejoin(), "not ready before it is complete");
         life.complete();
@@ -146,7 +170,7 @@
 
     #[test]
     fn a_drain_while_starting_ends_in_starting() {
-        let life = Lifecycle::new();
+        let life = Lifecycle::new(Duration::from_secs(1));
         life.lame_duck();
         assert!(!life.rejoin());
         assert_eq!(life.state(), State::Starting);
