--- a/crates/curlewhub/tests/crossings/main.rs
+++ b/crates/curlewhub/tests/crossings/main.rs
@@ -7,5 +7,6 @@
 mod closing;
 mod discovery;
 mod gone;
+mod last_moments;
 mod limits;
 mod settings;
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -12,6 +12,7 @@
 use super::outbound::{Outbound, Progress, Terms};
 use super::sharing::{Module, Sharing};
 use super::sight::Sight;
+use super::time_left::TimeLeft;
 use super::timers::Timers;
 use curlewhub_balance::{
     Action, AttemptEnded, AttemptNo, Balancer, ClassId, EndpointId, EndpointInfo, EndpointState, Event,
@@ -550,11 +551,15 @@
             let zone = || self.balancer.place(endpoint).map(|(zone, _)| zone);
             self.sight.began((id, attempt), open.class, &zone);
         }
-        let request = open.forward.request(address, open.coming.unwrap_or(until - now));
+        let request = open.forward.request(address);
+        let time_left = match open.coming {
+            Some(time) => TimeLeft::of_whole(open.deadline.subscribe(), time),
+            None => TimeLeft::until(open.deadline.subscribe(), until),
+        };
         let mut deadline = open.deadline.subscribe();
         let (outbound, inbox) = (self.outbound.clone(), self.inbox.clone());
         let begin_by = repeats_until.map(|until| now + until.saturating_sub(self.clock.now()));
-        let terms = Terms { client: open.client.clone(), begin_by };
+        let terms = Terms { client: open.client.clone(), begin_by, time_left };
         spawn_local(async move {
             let progress = Progress::of_request(terms);
             let ended = tokio::select! {
--- a/crates/runtime/src/events.rs
+++ b/crates/runtime/src/events.rs
@@ -208,17 +208,23 @@
 }
 
 impl Forward {
-    /// As it goes to the endpoint at this address, which is to know that so much time is left.
-    pub fn request(&self, address: SocketAddr, left: Duration) -> Request<Payload> {
+    /// As it goes to the endpoint at this address, but for the time left: see `tell_time_left`.
+    pub fn request(&self, address: SocketAddr) -> Request<Payload> {
         let mut request = Request::new(self.body.clone());
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
         let headers = request.headers_mut();
-        let text = |text: String| HeaderValue::from_str(&text).unwrap_or(HeaderValue::from_static(""));
-        headers.insert(header::HOST, text(address.to_string()));
-        let timeout = text(format!("{}u", left.as_micros()));
-        headers.insert(HeaderName::from_static("x-timeout"), timeout);
+        headers.insert(header::HOST, header_value(address.to_string()));
         request
     }
 }
+
+/// Tells an endpoint how much of the client's time is left, right before the request is written.
+pub fn tell_time_left(headers: &mut HeaderMap, left: Duration) {
+    headers.insert(HeaderName::from_static("x-timeout"), header_value(format!("{}u", left.as_micros())));
+}
+
+fn header_value(text: String) -> HeaderValue {
+    HeaderValue::from_str(&text).unwrap_or(HeaderValue::from_static(""))
+}
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -30,4 +30,5 @@
 pub mod spares;
 pub mod static_list;
 pub mod streaming;
+pub mod time_left;
 pub mod timers;
--- a/crates/runtime/src/outbound.rs
+++ b/crates/runtime/src/outbound.rs
@@ -1,13 +1,14 @@
 //! Connections to endpoints: attempts and probes, and how they end.
 
 use super::budget::{Budget, Holder, Permit};
-use super::events::{Client, Ended};
+use super::events::{Client, Ended, tell_time_left};
 use super::figures::Figures;
 use super::guard::Guard;
 use super::slots::{Slot, Slots};
 use super::socket::{BUFFER_MOST, Heard, Socket};
 use super::spares::{REST, Spares};
 use super::streaming::{AnswerBody, BODY_MOST, FLOW_KIB, Flow, Payload, Sending, WHOLE_MOST};
+use super::time_left::{TOLD_WITHIN, TimeLeft};
 use curlewhub_balance::{EndpointId, LoadField, Outcome, Settings};
 use curlewhub_links::{Leave, Refusal};
 use http_body_util::BodyExt;
@@ -66,12 +67,14 @@
 }
 
 /// What must hold as a request's first byte is written, whatever the attempt has waited for until then.
-#[derive(Clone, Default)]
+#[derive(Clone)]
 pub struct Terms {
     /// Its client is still there.
     pub client: Client,
     /// A repeat of what may have run begins by then; none where nothing has.
     pub begin_by: Option<Instant>,
+    /// What its endpoint is told of the client's time.
+    pub time_left: TimeLeft,
 }
 
 impl Terms {
@@ -243,15 +246,25 @@
             }
             let (heard, whole) = (link.heard.clone(), progress.whole.clone());
             whole.set(false);
+            // Read only now: a wait for the connection has taken its part of the client's time.
+            let read_at = Instant::now();
+            if let Some(terms) = &progress.terms {
+                let left = terms.time_left.at(read_at);
+                if left.is_zero() {
+                    return Ended::bare(progress.given_up());
+                }
+                tell_time_left(request.headers_mut(), left);
+            }
             let figures = progress.terms.as_ref().map(|_| self.figures.clone());
             let request = request.clone().map(|payload| Sending::new(&payload, whole, heard, figures));
             let idle = link.idle_since.elapsed();
             link.heard.forget();
             // The last look is right before the first byte: whatever was waited for until then, a drain may have
-            // been told, a client gone, a window for repeats passed.
+            // been told, a client gone, a window for repeats passed, or the time that is told been held up.
             let (this, terms) = (self.clone(), progress.terms.clone());
             link.heard.begins(Box::new(move || {
-                this.admits(endpoint, address) && terms.as_ref().is_none_or(Terms::hold)
+                let holds = |terms: &Terms| terms.hold() && read_at.elapsed() < TOLD_WITHIN;
+                this.admits(endpoint, address) && terms.as_ref().is_none_or(holds)
             }));
             let headed = Cell::new(false);
             let exchange = async {
