--- a/crates/curlewhub/tests/crossings/last_moments.rs
+++ b/crates/curlewhub/tests/crossings/last_moments.rs
@@ -141,6 +141,35 @@
     assert_eq!(sidecar.ask("quote", "r2").status(), 200);
 }
 
+#[test]
+fn what_a_client_sends_ahead_while_a_long_answer_comes_is_refused_or_closed_in_time() {
+    let good = request("book", "ahead", "9000m");
+    let both = good.replace("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked");
+    for (ahead, what) in
+        [(&good[..40], "half a head"), (&good[..], "a whole one"), (&both[..], "two framings")]
+    {
+        let stage = Stage::new();
+        let sidecar = Sidecar::start(&knows(&[stage.address]));
+        let mut client = Wire::connect(sidecar.address);
+        client.write(&request("quote", "r1", "9000m"));
+        let (mut endpoint, _) = stage.request();
+        endpoint.write("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n");
+        endpoint.write(&"y".repeat(99_999));
+        assert!(client.has_more(PATIENCE), "it flows");
+        client.write(ahead);
+        thread::sleep(Duration::from_millis(100));
+        endpoint.write("y");
+        let first = client.read().expect("the first answer stays whole");
+        assert_eq!((first.status(), first.body.len()), (200, 100_000), "{what}");
+        let start = Instant::now();
+        let (rest, end) = client.rest(Duration::from_secs(8));
+        assert!(end != End::Open && start.elapsed() < OWED, "{what}: {end:?} after {:?}", start.elapsed());
+        let rest = String::from_utf8_lossy(&rest).into_owned();
+        assert!(rest.is_empty() || rest.starts_with("HTTP/1.1 4"), "{what}: {rest}");
+        assert!(stage.hears_nothing(Duration::from_millis(100)), "{what} went on");
+    }
+}
+
 #[test]
 fn a_request_with_hardly_any_time_left_gets_one_answer_whatever_becomes_of_it() {
     // Endpoints drop it without a word, hold it, or answer too late.
--- a/crates/runtime/src/inbound/connection.rs
+++ b/crates/runtime/src/inbound/connection.rs
@@ -78,6 +78,8 @@
     stage: Cell<Stage>,
     /// The next answer is the connection's last, and says so.
     pub(super) last: Cell<bool>,
+    /// Something came behind the request before its answer was over: hyper holds it, and it begins nothing new.
+    ahead: Cell<bool>,
     /// It was told to close to make room.
     pub(super) closing: Cell<bool>,
     /// Wakes the connection to close itself.
@@ -88,9 +90,9 @@
 
 impl Turn {
     fn new(heard: Rc<Heard>) -> Rc<Self> {
-        let (last, closing, close, room) = Default::default();
+        let (last, ahead, closing, close, room) = Default::default();
         let (accepted, stage) = (Instant::now(), Cell::new(Stage::Fresh));
-        Rc::new(Turn { heard, accepted, stage, last, closing, close, room })
+        Rc::new(Turn { heard, accepted, stage, last, ahead, closing, close, room })
     }
 
     /// The only way from one stage to the next. What ended never begins again.
@@ -114,6 +116,26 @@
         between
     }
 
+    /// Its answer is over, or can't be given. What came meanwhile lies in hyper's buffer.
+    pub(super) fn answered(&self) {
+        self.ahead.set(self.heard.more());
+        self.step(Step::Answered);
+        self.heard.forget();
+    }
+
+    /// Whether the request that was just taken began to come before the answer ahead of it was over.
+    pub(super) fn came_ahead(&self) -> bool {
+        self.ahead.get()
+    }
+
+    /// When the next request began to come, as far as that is known; none while nothing of it is here.
+    fn began(&self) -> Option<Instant> {
+        match self.stage.get() {
+            Stage::Between { since } if self.ahead.get() => Some(since),
+            _ => self.heard.began(),
+        }
+    }
+
     pub(super) fn stage(&self) -> Stage {
         self.stage.get()
     }
@@ -126,7 +148,7 @@
     /// How long it has been between requests, with nothing of the next one here; none before the first.
     pub(super) fn idle(&self) -> Option<Duration> {
         match self.stage.get() {
-            Stage::Between { since } if self.heard.began().is_none() => Some(since.elapsed()),
+            Stage::Between { since } if self.began().is_none() => Some(since.elapsed()),
             _ => None,
         }
     }
@@ -140,7 +162,7 @@
     /// How long it has been in the middle of a request's head.
     pub(super) fn partial(&self) -> Option<Duration> {
         let waits = matches!(self.stage.get(), Stage::Fresh | Stage::Between { .. });
-        self.heard.began().filter(|_| waits).map(|at| at.elapsed())
+        self.began().filter(|_| waits).map(|at| at.elapsed())
     }
 
     /// The process ends: a client must be able to tell that an answer still on its way is not whole, also where that has
@@ -153,7 +175,7 @@
 
     /// When a request that has begun to come, or the first one, began.
     pub(super) fn request_start(&self) -> Instant {
-        match (self.stage.get(), self.heard.began()) {
+        match (self.stage.get(), self.began()) {
             (Stage::Serving { began }, _) | (Stage::Between { .. }, Some(began)) => began,
             _ => self.accepted,
         }
@@ -163,7 +185,7 @@
     pub(super) fn until(&self) -> Option<Instant> {
         match self.stage.get() {
             Stage::Serving { .. } | Stage::Answering | Stage::Closing | Stage::Lingering => None,
-            Stage::Between { since } if self.heard.began().is_none() => Some(since + IDLE_MOST),
+            Stage::Between { since } if self.began().is_none() => Some(since + IDLE_MOST),
             Stage::Fresh | Stage::Between { .. } => Some(self.request_start() + HEAD_TIME),
         }
     }
@@ -199,7 +221,7 @@
     /// and lies unread. That one is served, as the connection's last.
     fn is_over(&self, turn: &Turn) -> bool {
         let unread = matches!(turn.stage(), Stage::Fresh | Stage::Between { .. })
-            && turn.heard.began().is_none()
+            && turn.began().is_none()
             && turn.heard.pending();
         if unread {
             turn.last.set(true);
--- a/crates/runtime/src/inbound/exchange.rs
+++ b/crates/runtime/src/inbound/exchange.rs
@@ -27,6 +27,8 @@
 const ANSWER_MARGIN: Duration = Duration::from_millis(10);
 /// A long body may take so long altogether: 32 MB at 64 kB a second take 500 s.
 const UPLOAD_MOST: Duration = Duration::from_secs(600);
+/// What a client is told that does not wait for its answer.
+const ANOTHER_AT_ONCE: Bad = (StatusCode::BAD_REQUEST, "more than one request at once");
 /// When a client that found no room is to come back, in seconds.
 const SHED_RETRY: &str = "0.5";
 
@@ -111,8 +113,7 @@
 
 impl Drop for Outgoing {
     fn drop(&mut self) {
-        self.turn.step(Step::Answered);
-        self.turn.heard.forget();
+        self.turn.answered();
     }
 }
 
@@ -178,7 +179,7 @@
         let mut future = pin!(future);
         poll_fn(|cx| {
             if turn.heard.more() {
-                return Poll::Ready(Err((StatusCode::BAD_REQUEST, "more than one request at once")));
+                return Poll::Ready(Err(ANOTHER_AT_ONCE));
             }
             future.as_mut().poll(cx).map(Ok)
         })
@@ -191,6 +192,9 @@
         turn: &Turn,
         counted: &mut Counted,
     ) -> Result<Reply, Bad> {
+        if turn.came_ahead() {
+            return Err(ANOTHER_AT_ONCE);
+        }
         let (mut head, body) = request.into_parts();
         // hyper lets chunks win over a length beside them, and would take what was hidden in that body for
         // the next request.
