--- a/crates/curlewhub/tests/crossings/last_moments.rs
+++ b/crates/curlewhub/tests/crossings/last_moments.rs
@@ -284,3 +284,31 @@
         assert!(load.end() > 0);
     }
 }
+
+#[test]
+fn a_request_that_crosses_the_end_of_an_unused_or_resting_connection_is_not_read() {
+    // Longer than a connection that ended by our will is kept.
+    const KEPT: Duration = Duration::from_millis(1500);
+    let peer = Peer::serving("ok");
+    let mut sidecar = Sidecar::start(&config(&[&peer]));
+    let mut unused = Wire::connect(sidecar.address);
+    let mut resting = Wire::connect(sidecar.address);
+    resting.write(&request("quote", "r0", "9000m"));
+    assert_eq!(resting.read().expect("an answer").status(), 200);
+    // It never ends its side, and holds the process until the others have been looked at.
+    let mut open = Wire::connect(sidecar.address);
+    open.write(&request("book", "open", "9000m").replace("Content-Length: 4", "Content-Length: 90000"));
+    sidecar.signal("-TERM");
+    for (wire, what) in [(&mut unused, "unused"), (&mut resting, "resting")] {
+        assert_eq!(wire.ended(), End::Closed, "{what}");
+        wire.write(&request("book", "late", "9000m"));
+    }
+    thread::sleep(KEPT);
+    // What was read, and has no answer, would be lost; what was not is turned back by a reset.
+    for (wire, what) in [(&unused, "unused"), (&resting, "resting")] {
+        assert!(wire.was_reset(), "{what}: its request was read");
+    }
+    drop(open);
+    assert!(sidecar.ended().success());
+    assert!(peer.seen.lock().unwrap().iter().all(|m| m.header("x-request-id") != "late"));
+}
--- a/crates/curlewhub/tests/support/script.rs
+++ b/crates/curlewhub/tests/support/script.rs
@@ -137,9 +137,7 @@
                 // A reset behind the end shows in no read any more.
                 Ok(0) => {
                     std::thread::sleep(Duration::from_millis(50));
-                    let error = SockRef::from(self.reader.get_ref()).take_error();
-                    let reset = !matches!(error, Ok(None));
-                    return (all, if reset { End::Reset } else { End::Closed });
+                    return (all, if self.was_reset() { End::Reset } else { End::Closed });
                 }
                 Ok(count) => all.extend_from_slice(&piece[..count]),
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return (all, End::Reset),
@@ -164,6 +162,11 @@
             && seen.map_or_else(|e| e.kind() != std::io::ErrorKind::WouldBlock, |count| count == 0)
     }
 
+    /// Whether the other side has reset the connection, though nothing was written to it since.
+    pub fn was_reset(&self) -> bool {
+        !matches!(SockRef::from(self.reader.get_ref()).take_error(), Ok(None))
+    }
+
     /// Whether something has come that was not read.
     pub fn has_more(&mut self, time: Duration) -> bool {
         self.reader.get_ref().set_read_timeout(Some(time.max(Duration::from_millis(1)))).unwrap();
--- a/crates/runtime/src/inbound/connection.rs
+++ b/crates/runtime/src/inbound/connection.rs
@@ -56,6 +56,17 @@
     Lingering,
 }
 
+/// How a connection came to its end. A request that is read after it could have no answer any more.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum End {
+    /// It never brought a whole request: nothing is on its way to its client.
+    Unused,
+    /// It rested, and may have been answered just before.
+    Resting,
+    /// Its client was told, or has ended it: whatever it still sends is read away, so that it comes to read that.
+    Answered,
+}
+
 /// What moves a connection on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Step {
@@ -199,13 +210,20 @@
         let number = self.next.get();
         self.next.set(number + 1);
         self.connections.borrow_mut().insert(number, turn.clone());
-        self.follow(socket, shed, &turn).await;
+        let end = self.follow(socket, shed, &turn).await;
         turn.step(Step::Ended);
         turn.closing.set(false);
+        let lingers = async {
+            match end {
+                End::Unused => {}
+                End::Resting => turn.heard.linger_unread().await,
+                End::Answered => turn.heard.linger(LINGER_MOST).await,
+            }
+        };
         // Whoever wants room may end this early; it holds its place in the budget until then.
         tokio::select! {
             biased;
-            () = turn.heard.linger(LINGER_MOST) => {}
+            () = lingers => {}
             () = turn.room.notified() => {}
             () = sleep(self.before_the_end(LINGER)) => {}
         }
@@ -230,7 +248,7 @@
     }
 
     /// Serves a connection until its end.
-    async fn follow(&self, socket: Socket, shed: bool, turn: &Rc<Turn>) {
+    async fn follow(&self, socket: Socket, shed: bool, turn: &Rc<Turn>) -> End {
         let service = service_fn(|request| self.answer(request, shed, turn));
         let connection = http1::Builder::new()
             .keep_alive(!shed)
@@ -245,10 +263,11 @@
                 biased;
                 ended = connection.as_mut() => {
                     // Any other error is the client's leaving.
+                    let rested = ended.is_ok() && turn.stage() == Stage::Closing;
                     if ended.is_err_and(|e| e.is_parse()) {
                         drop(self.figures.begin(None));
                     }
-                    return;
+                    return if rested { End::Resting } else { End::Answered };
                 }
                 () = turn.close.notified() => {
                     let drains = self.lifecycle.draining_since().is_some();
@@ -262,7 +281,7 @@
                         if turn.closes() {
                             connection.as_mut().graceful_shutdown();
                         } else {
-                            return;
+                            return End::Unused;
                         }
                     } else {
                         yield_now().await;
@@ -272,7 +291,8 @@
                     let now = Instant::now();
                     let writes = matches!(turn.stage(), Stage::Answering | Stage::Closing);
                     if writes && turn.heard.unwritten() >= UNREAD_MOST {
-                        return turn.heard.resets();
+                        turn.heard.resets();
+                        return End::Answered;
                     }
                     let unused = fresh_until.take_if(|at| *at <= now).is_some() && turn.heard.began().is_none();
                     if turn.until().is_some_and(|at| at <= now || unused) {
@@ -281,7 +301,7 @@
                         } else if turn.closes() {
                             connection.as_mut().graceful_shutdown();
                         } else {
-                            return;
+                            return End::Unused;
                         }
                     }
                 }
--- a/crates/runtime/src/socket.rs
+++ b/crates/runtime/src/socket.rs
@@ -16,6 +16,8 @@
 /// Buffer of a connection, either way; also bounds a message's head.
 pub const BUFFER_MOST: usize = 64 * 1024;
 
+/// How often a connection that only lingers looks whether its peer has ended.
+const PEER_END_CHECK: Duration = Duration::from_millis(50);
 /// What is taken in at once of what nobody wants.
 const LINGER_PIECE: usize = 16 * 1024;
 
@@ -175,6 +177,25 @@
         }
     }
 
+    /// Ends the sending and reads nothing more, until the peer has ended too: what crosses that end is no request that
+    /// was taken, and is turned back by a reset once the connection is dropped.
+    pub async fn linger_unread(&self) {
+        if self.withheld.get() || SockRef::from(&self.stream).shutdown(std::net::Shutdown::Write).is_err() {
+            return;
+        }
+        while !self.peer_has_ended() {
+            tokio::time::sleep(PEER_END_CHECK).await;
+        }
+    }
+
+    /// Whether the peer's end is all that the kernel still holds, or the connection is broken. Reads nothing.
+    fn peer_has_ended(&self) -> bool {
+        match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit(); 1]) {
+            Ok(count) => count == 0,
+            Err(e) => !matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted),
+        }
+    }
+
     /// Whether the kernel holds anything unread, or the end. Asked of it directly: the runtime only
     /// knows what its last look at all sockets has shown.
     pub fn pending(&self) -> bool {
