--- a/crates/runtime/src/inbound/connection.rs
+++ b/crates/runtime/src/inbound/connection.rs
@@ -56,6 +56,17 @@
     Lingering,
 }
 
+/// How a connection came to its end. A request that is read after it could have no answer any more.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum End {
+    /// It never brought a whole request: nothing is on its way to its client.
+    Unused,
+    /// It rested, and may have been answered just before.
+    Resting,
+    /// Its client was told, or has ended it: whatever it still sends is read away, so that it comes to read that.
+    Answered,
+}
+
 /// What moves a connection on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Step {
@@ -78,6 +89,8 @@
     stage: Cell<Stage>,
     /// The next answer is the connection's last, and says so.
     pub(super) last: Cell<bool>,
+    /// Something came behind the request before its answer was over: hyper holds it, and it begins nothing new.
+    ahead: Cell<bool>,
     /// It was told to close to make room.
     pub(super) closing: Cell<bool>,
     /// Wakes the connection to close itself.
@@ -88,9 +101,9 @@
 
 impl Turn {
     fn new(heard: Rc<Heard>) -> Rc<Self> {
-        let (last, closing, close, room) = Default::default();
+        let (last, ahead, closing, close, room) = Default::default();
         let (accepted, stage) = (Instant::now(), Cell::new(Stage::Fresh));
-        Rc::new(Turn { heard, accepted, stage, last, closing, close, room })
+        Rc::new(Turn { heard, accepted, stage, last, ahead, closing, close, room })
     }
 
     /// The only way from one stage to the next. What ended never begins again.
@@ -114,6 +127,26 @@
         between
     }
 
+    /// Its answer is over, or can't be given. What came meanwhile lies in hyper's buffer.
+    pub(super) fn answered(&self) {
+        self.ahead.set(self.heard.more());
+        self.step(Step::Answered);
+        self.heard.forget();
+    }
+
+    /// Whether the request that was just taken began to come before the answer ahead of it was over.
+    pub(super) fn came_ahead(&self) -> bool {
+        self.ahead.get()
+    }
+
+    /// When the next request began to come, as far as that is known; none while nothing of it is here.
+    fn began(&self) -> Option<Instant> {
+        match self.stage.get() {
+            Stage::Between { since } if self.ahead.get() => Some(since),
+            _ => self.heard.began(),
+        }
+    }
+
     pub(super) fn stage(&self) -> Stage {
         self.stage.get()
     }
@@ -126,7 +159,7 @@
     /// How long it has been between requests, with nothing of the next one here; none before the first.
     pub(super) fn idle(&self) -> Option<Duration> {
         match self.stage.get() {
-            Stage::Between { since } if self.heard.began().is_none() => Some(since.elapsed()),
+            Stage::Between { since } if self.began().is_none() => Some(since.elapsed()),
             _ => None,
         }
     }
@@ -140,12 +173,20 @@
     /// How long it has been in the middle of a request's head.
     pub(super) fn partial(&self) -> Option<Duration> {
         let waits = matches!(self.stage.get(), Stage::Fresh | Stage::Between { .. });
-        self.heard.began().filter(|_| waits).map(|at| at.elapsed())
+        self.began().filter(|_| waits).map(|at| at.elapsed())
+    }
+
+    /// The process ends: a client must be able to tell that an answer still on its way is not whole, also where that has
+    /// no length.
+    pub(super) fn cut_off(&self) {
+        if matches!(self.stage.get(), Stage::Answering | Stage::Closing) {
+            self.heard.resets();
+        }
     }
 
     /// When a request that has begun to come, or the first one, began.
     pub(super) fn request_start(&self) -> Instant {
-        match (self.stage.get(), self.heard.began()) {
+        match (self.stage.get(), self.began()) {
             (Stage::Serving { began }, _) | (Stage::Between { .. }, Some(began)) => began,
             _ => self.accepted,
         }
@@ -155,7 +196,7 @@
     pub(super) fn until(&self) -> Option<Instant> {
         match self.stage.get() {
             Stage::Serving { .. } | Stage::Answering | Stage::Closing | Stage::Lingering => None,
-            Stage::Between { since } if self.heard.began().is_none() => Some(since + IDLE_MOST),
+            Stage::Between { since } if self.began().is_none() => Some(since + IDLE_MOST),
             Stage::Fresh | Stage::Between { .. } => Some(self.request_start() + HEAD_TIME),
         }
     }
@@ -169,24 +210,36 @@
         let number = self.next.get();
         self.next.set(number + 1);
         self.connections.borrow_mut().insert(number, turn.clone());
-        self.follow(socket, shed, &turn).await;
+        let end = self.follow(socket, shed, &turn).await;
         turn.step(Step::Ended);
         turn.closing.set(false);
+        let lingers = async {
+            match end {
+                End::Unused => {}
+                End::Resting => turn.heard.linger_unread().await,
+                End::Answered => turn.heard.linger(LINGER_MOST).await,
+            }
+        };
         // Whoever wants room may end this early; it holds its place in the budget until then.
         tokio::select! {
             biased;
-            () = turn.heard.linger(LINGER_MOST) => {}
+            () = lingers => {}
             () = turn.room.notified() => {}
-            () = sleep(LINGER) => {}
+            () = sleep(self.before_the_end(LINGER)) => {}
         }
         self.connections.borrow_mut().remove(&number);
     }
 
+    /// How long something may take on a connection, less where the process is to end sooner.
+    fn before_the_end(&self, wanted: Duration) -> Duration {
+        self.lifecycle.shutdown().map_or(wanted, |end| end.bound(wanted, Instant::now()))
+    }
+
     /// Whether a connection that is to be closed can be: not where a request, or a part of one, came in the meantime
     /// and lies unread. That one is served, as the connection's last.
     fn is_over(&self, turn: &Turn) -> bool {
         let unread = matches!(turn.stage(), Stage::Fresh | Stage::Between { .. })
-            && turn.heard.began().is_none()
+            && turn.began().is_none()
             && turn.heard.pending();
         if unread {
             turn.last.set(true);
@@ -195,7 +248,7 @@
     }
 
     /// Serves a connection until its end.
-    async fn follow(&self, socket: Socket, shed: bool, turn: &Rc<Turn>) {
+    async fn follow(&self, socket: Socket, shed: bool, turn: &Rc<Turn>) -> End {
         let service = service_fn(|request| self.answer(request, shed, turn));
         let connection = http1::Builder::new()
             .keep_alive(!shed)
@@ -210,10 +263,11 @@
                 biased;
                 ended = connection.as_mut() => {
                     // Any other error is the client's leaving.
+                    let rested = ended.is_ok() && turn.stage() == Stage::Closing;
                     if ended.is_err_and(|e| e.is_parse()) {
                         drop(self.figures.begin(None));
                     }
-                    return;
+                    return if rested { End::Resting } else { End::Answered };
                 }
                 () = turn.close.notified() => {
                     let drains = self.lifecycle.draining_since().is_some();
@@ -222,12 +276,12 @@
                     } else if drains && turn.stage() == Stage::Fresh {
                         // The first request is as good as taken: to close now would lose what the
                         // client is just writing.
-                        fresh_until.get_or_insert_with(|| Instant::now() + FRESH_WAIT);
+                        fresh_until.get_or_insert_with(|| Instant::now() + self.before_the_end(FRESH_WAIT));
                     } else if self.is_over(turn) {
                         if turn.closes() {
                             connection.as_mut().graceful_shutdown();
                         } else {
-                            return;
+                            return End::Unused;
                         }
                     } else {
                         yield_now().await;
@@ -237,7 +291,8 @@
                     let now = Instant::now();
                     let writes = matches!(turn.stage(), Stage::Answering | Stage::Closing);
                     if writes && turn.heard.unwritten() >= UNREAD_MOST {
-                        return turn.heard.resets();
+                        turn.heard.resets();
+                        return End::Answered;
                     }
                     let unused = fresh_until.take_if(|at| *at <= now).is_some() && turn.heard.began().is_none();
                     if turn.until().is_some_and(|at| at <= now || unused) {
@@ -246,7 +301,7 @@
                         } else if turn.closes() {
                             connection.as_mut().graceful_shutdown();
                         } else {
-                            return;
+                            return End::Unused;
                         }
                     }
                 }
