--- a/crates/balance/src/balance/snapshot.rs
+++ b/crates/balance/src/balance/snapshot.rs
@@ -4,7 +4,7 @@
 //! itself would have reached. `docs/design/0002-snapshots.md` says what is carried and why.
 
 use super::{Balancer, LATE_MULTIPLE, LATE_SHARE, LIMIT_START, RETRY_SAVED};
-use crate::stats::{Fading, Latency};
+use crate::stats::{Fading, Latency, moved};
 use crate::types::EndpointId;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -65,6 +65,29 @@
         now.saturating_sub(self.taken)
     }
 
+    /// The same on a clock that is ahead by so many microseconds of the one that it was taken on. The starts of
+    /// endpoints are of the list, not of that clock.
+    pub fn moved(mut self, micros: i64) -> Snapshot {
+        if micros == 0 {
+            return self;
+        }
+        let on = |at: Duration| moved(at, micros);
+        (self.taken, self.born) = (on(self.taken), on(self.born));
+        for endpoint in &mut self.endpoints {
+            (endpoint.heat, endpoint.drag) = (endpoint.heat.moved(micros), endpoint.drag.moved(micros));
+            endpoint.limit_cut_at = on(endpoint.limit_cut_at);
+            endpoint.cold_at = on(endpoint.cold_at);
+            endpoint.back = endpoint.back.map(on);
+        }
+        self.latency = self.latency.into_iter().map(|latency| latency.moved(micros)).collect();
+        let single =
+            [&mut self.missed, &mut self.arrivals, &mut self.served, &mut self.proven, &mut self.silence];
+        for fading in single.into_iter().chain(&mut self.tenants) {
+            *fading = fading.moved(micros);
+        }
+        self
+    }
+
     /// Mean latency of each class, in seconds, and its unhurried mean.
     pub fn latencies(&self) -> Vec<(f64, f64)> {
         self.latency.iter().map(|latency| (latency.mean, latency.unhurried)).collect()
--- a/crates/balance/src/stats.rs
+++ b/crates/balance/src/stats.rs
@@ -23,6 +23,12 @@
     at: Duration,
 }
 
+/// A time on a clock that is ahead by so many microseconds.
+pub(crate) fn moved(at: Duration, micros: i64) -> Duration {
+    let by = Duration::from_micros(micros.unsigned_abs());
+    if micros < 0 { at.saturating_sub(by) } else { at.saturating_add(by) }
+}
+
 /// What is left of a value after so many seconds, if it falls to a third in `third`.
 fn fade(seconds: f64, third: f64) -> f64 {
     (-seconds / third).exp()
@@ -45,6 +51,11 @@
         self.at
     }
 
+    /// The same on a clock that is ahead by so many microseconds.
+    pub(crate) fn moved(self, micros: i64) -> Self {
+        Fading { at: moved(self.at, micros), ..self }
+    }
+
     /// The same, with no time ahead of now: the clock may have stepped back between two processes.
     pub(crate) fn not_ahead(self, now: Duration) -> Self {
         Fading { at: self.at.min(now), ..self }
@@ -74,6 +85,11 @@
 }
 
 impl Latency {
+    /// The same on a clock that is ahead by so many microseconds.
+    pub(crate) fn moved(self, micros: i64) -> Self {
+        Latency { at: moved(self.at, micros), ..self }
+    }
+
     /// The mean and so many times the mean distance from it, which is never taken for less than a quarter of
     /// the mean: where all answers take alike, the next one may still be a little later.
     pub(crate) fn overdue(&self, spreads: f64) -> Duration {
--- a/crates/curlewhub/src/serve.rs
+++ b/crates/curlewhub/src/serve.rs
@@ -134,7 +134,7 @@
     };
     let attempts = config.settings.limits.max_attempts;
     let (folder, zones) = (&config.state_dir, &config.names.areas);
-    let keyed = Keyed::open(folder, config.listen, &config.settings, zones, figures.clone(), clock.now());
+    let keyed = Keyed::open(folder, config.listen, &config.settings, zones, figures.clone(), clock);
     let (bans_held, life) = (bans.clone(), lifecycle.clone());
     let reloader = Reloader::new(loaded, figures.clone(), calls.clone(), log);
     let mut fleet = crate::member::join(&config, &figures, &fleet_commands, clock, reloader.clone());
--- a/crates/keys/src/lib.rs
+++ b/crates/keys/src/lib.rs
@@ -8,11 +8,13 @@
 
 #![warn(clippy::too_many_lines)]
 
+mod clock;
 mod journal;
 mod memory;
 mod record;
 
-pub use journal::{Journal, Others};
+pub use clock::{ClockAnchor, shift};
+pub use journal::{Journal, JournalFolder, Others, OwnJournal, RETRY_INTERVAL};
 pub use memory::{Entry, MAX_KEYS, Memory, SlotWrite};
 pub use record::{Contents, JournalError, encode_header, read};
 
--- a/crates/keys/src/memory.rs
+++ b/crates/keys/src/memory.rs
@@ -3,9 +3,9 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// The most keys that are remembered: 65,536, enough for ten thousand a second with windows of six seconds. Beyond that the oldest are
-/// forgotten, and counted.
-pub const MAX_KEYS: usize = 65_536;
+/// The most keys that are remembered: 65,535, enough for ten thousand a second with windows of six seconds. Beyond that
+/// the oldest are forgotten, and counted. A journal has one slot more, for the clock of its process.
+pub const MAX_KEYS: usize = 65_535;
 
 /// Where a job may have run.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/keys/src/record.rs
+++ b/crates/keys/src/record.rs
@@ -1,5 +1,6 @@
 //! The format of a journal file: a header, and slots of one size.
 
+use crate::clock::ClockAnchor;
 use crate::memory::{Entry, MAX_KEYS};
 use std::time::Duration;
 use thiserror::Error;
@@ -19,7 +20,8 @@
     zones_hash: U64,
 }
 
-/// One slot. All zeros mean that it is empty.
+/// One slot. All zeros mean that it is empty. A slot with a window of zero holds no key but the [`ClockAnchor`] of the
+/// process: versions that know of no anchors take it for a key that is over, and skip it.
 #[derive(FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned)]
 #[repr(C)]
 pub(crate) struct Slot {
@@ -33,6 +35,15 @@
 }
 
 impl Slot {
+    fn anchor(&self) -> ClockAnchor {
+        ClockAnchor {
+            boot: self.key.get(),
+            unix: Duration::from_micros(self.sent_micros.get()),
+            since_boot: Duration::from_micros(self.cell.get()),
+            suspended_ms: self.zone.get(),
+        }
+    }
+
     fn entry(&self) -> Entry {
         Entry {
             key: self.key.get(),
@@ -48,8 +59,10 @@
 pub(crate) const HEADER_BYTES: usize = size_of::<Header>();
 /// Bytes of a slot.
 pub(crate) const SLOT_BYTES: usize = size_of::<Slot>();
+/// The most slots that a file has: all keys, and the anchor. It is the limit of versions that know of no anchors.
+const MAX_SLOTS: usize = MAX_KEYS + 1;
 /// The most bytes that a file has.
-pub(crate) const MAX_BYTES: usize = HEADER_BYTES + SLOT_BYTES * MAX_KEYS;
+pub(crate) const MAX_BYTES: usize = HEADER_BYTES + SLOT_BYTES * MAX_SLOTS;
 
 /// Why a file can't be used.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
@@ -77,19 +90,34 @@
 
 pub(crate) fn encode(entry: Option<&Entry>) -> [u8; SLOT_BYTES] {
     let micros = |time: Duration| U64::new(u64::try_from(time.as_micros()).unwrap_or(u64::MAX));
-    let mut bytes = [0; SLOT_BYTES];
-    if let Some(entry) = entry {
-        let mut slot = Slot {
+    entry.map_or([0; SLOT_BYTES], |entry| {
+        with_checksum(Slot {
             key: entry.key.into(),
             sent_micros: micros(entry.sent),
             window_micros: micros(entry.window),
             cell: entry.cell.into(),
             zone: entry.zone.into(),
             checksum: U32::ZERO,
-        };
-        slot.checksum = checksum(&slot).into();
-        bytes.copy_from_slice(slot.as_bytes());
-    }
+        })
+    })
+}
+
+/// The slot of the process's anchor.
+pub(crate) fn encode_anchor(anchor: &ClockAnchor) -> [u8; SLOT_BYTES] {
+    with_checksum(Slot {
+        key: anchor.boot.into(),
+        sent_micros: (anchor.unix.as_micros() as u64).into(),
+        window_micros: U64::ZERO,
+        cell: (anchor.since_boot.as_micros() as u64).into(),
+        zone: anchor.suspended_ms.into(),
+        checksum: U32::ZERO,
+    })
+}
+
+fn with_checksum(mut slot: Slot) -> [u8; SLOT_BYTES] {
+    slot.checksum = checksum(&slot).into();
+    let mut bytes = [0; SLOT_BYTES];
+    bytes.copy_from_slice(slot.as_bytes());
     bytes
 }
 
@@ -105,6 +133,8 @@
     pub entries: Vec<Entry>,
     /// Slots that are neither empty nor whole.
     pub corrupt: usize,
+    /// The clock of the process that wrote it, if it wrote that.
+    pub anchor: Option<ClockAnchor>,
 }
 
 /// Reads the bytes of a file for the zones of this hash.
@@ -128,7 +158,13 @@
     let mut contents = Contents::default();
     for bytes in slots.chunks(SLOT_BYTES) {
         match Slot::ref_from_bytes(bytes) {
-            Ok(slot) if slot.checksum.get() == checksum(slot) => contents.entries.push(slot.entry()),
+            Ok(slot) if slot.checksum.get() == checksum(slot) => {
+                if slot.window_micros.get() == 0 {
+                    contents.anchor = Some(slot.anchor());
+                } else {
+                    contents.entries.push(slot.entry());
+                }
+            }
             _ => contents.corrupt += usize::from(bytes.iter().any(|byte| *byte != 0)),
         }
     }
--- /dev/null
+++ b/crates/keys/tests/storage.rs
@@ -0,0 +1,312 @@
+//! The journal over disks that fail, kills in the middle of a write, and clocks that step.
+
+use curlewhub_keys::{
+    ClockAnchor, Entry, Journal, JournalFolder, MAX_KEYS, Memory, Others, OwnJournal, RETRY_INTERVAL, read,
+    shift,
+};
+use proptest::prelude::*;
+use std::collections::BTreeSet;
+use std::path::{Path, PathBuf};
+use std::process::Command;
+use std::time::Duration;
+
+const NOW: Duration = Duration::from_secs(1_000_000);
+const WINDOW: Duration = Duration::from_secs(6);
+const ZONES_HASH: u64 = 9;
+const HEADER_BYTES: usize = 16;
+const SLOT_BYTES: usize = 40;
+const SECOND: Duration = Duration::from_secs(1);
+/// Written by the version before anchors: keys 0 to 3, and key 1 forgotten.
+const BEFORE: &[u8] = include_bytes!("fixtures/journal-v1.bin");
+
+fn entry(key: u64, sent: Duration) -> Entry {
+    Entry { key, zone: key as u32, cell: key << 40, sent, window: WINDOW }
+}
+
+/// A folder that goes with the test.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Folder {
+        let path = std::env::temp_dir().join(format!("curlewhub-storage-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&path).unwrap();
+        Folder(path)
+    }
+
+    fn place(&self) -> JournalFolder {
+        JournalFolder { folder: self.0.clone(), sidecar: "s".to_owned(), zones_hash: ZONES_HASH }
+    }
+
+    fn others(&self) -> Others {
+        Others::new(&self.0, "s", None, ZONES_HASH)
+    }
+
+    fn keys(&self) -> BTreeSet<u64> {
+        self.others().read().0.into_iter().map(|entry| entry.key).collect()
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+fn anchor(unix: Duration, since_boot: Duration) -> ClockAnchor {
+    ClockAnchor::new(b"a boot", unix, since_boot, since_boot)
+}
+
+fn write(own: &mut OwnJournal, memory: &mut Memory, key: u64) -> std::io::Result<()> {
+    own.write(NOW, &memory.note(NOW, entry(key, NOW)).unwrap())
+}
+
+#[test]
+fn the_bytes_of_the_version_before_are_read() {
+    let contents = read(BEFORE, ZONES_HASH).unwrap();
+    assert_eq!(contents.entries, [0, 2, 3].map(|key| entry(key, NOW)));
+    assert_eq!((contents.corrupt, contents.anchor), (0, None));
+}
+
+#[test]
+fn the_clock_is_no_key_for_a_version_that_knows_of_none() {
+    let folder = Folder::new("anchor");
+    let (mut own, problem) = OwnJournal::open(folder.place(), NOW, Some(anchor(NOW, SECOND)));
+    assert!(problem.is_none());
+    write(&mut own, &mut Memory::default(), 1).unwrap();
+    let bytes = std::fs::read(own.path()).unwrap();
+    assert_eq!(bytes.len(), HEADER_BYTES + 2 * SLOT_BYTES);
+    let word = |at: usize| u64::from_le_bytes(bytes[at..at + 8].try_into().unwrap());
+    let as_key = Entry {
+        key: word(HEADER_BYTES),
+        zone: 0,
+        cell: word(HEADER_BYTES + 24),
+        sent: Duration::from_micros(word(HEADER_BYTES + 8)),
+        window: Duration::from_micros(word(HEADER_BYTES + 16)),
+    };
+    assert_eq!((as_key.window, Memory::default().note(NOW, as_key)), (Duration::ZERO, None));
+    // All slots and the anchor are no longer than a file of that version may be.
+    assert!(read(&vec![0; HEADER_BYTES + 65_536 * SLOT_BYTES + 1], ZONES_HASH).is_err());
+    assert_eq!(MAX_KEYS + 1, 65_536);
+}
+
+#[test]
+fn a_journal_that_can_not_be_created_is_created_later_with_all_that_is_known() {
+    let folder = Folder::new("late");
+    std::fs::remove_dir(&folder.0).unwrap();
+    let (mut own, problem) = OwnJournal::open(folder.place(), NOW, None);
+    assert!(problem.is_some() && own.is_owing());
+    let mut memory = Memory::default();
+    for key in 0..1000 {
+        assert!(write(&mut own, &mut memory, key).is_err());
+    }
+    own.write(NOW, &memory.forget(500).unwrap()).unwrap_err();
+    std::fs::create_dir(&folder.0).unwrap();
+    assert!(own.retry(NOW).is_err(), "not before its time");
+    own.retry(NOW + RETRY_INTERVAL).unwrap();
+    assert!(!own.is_owing());
+    assert_eq!(folder.keys(), (0..1000).filter(|key| *key != 500).collect());
+}
+
+#[test]
+fn the_next_write_takes_some_of_what_is_owed_with_it_and_the_rest_follows() {
+    let folder = Folder::new("next");
+    std::fs::remove_dir(&folder.0).unwrap();
+    let (mut own, _) = OwnJournal::open(folder.place(), NOW, None);
+    let mut memory = Memory::default();
+    for key in 0..300 {
+        assert!(write(&mut own, &mut memory, key).is_err());
+    }
+    std::fs::create_dir(&folder.0).unwrap();
+    let later = NOW + RETRY_INTERVAL;
+    own.write(later, &memory.note(later, entry(300, later)).unwrap()).unwrap();
+    assert!((1..300).contains(&own.owed()), "{} are owed", own.owed());
+    own.retry(later).unwrap();
+    assert_eq!((own.owed(), folder.keys().len()), (0, 301));
+}
+
+/// The part of the next test that runs under a limit on the size of files.
+#[test]
+fn under_a_limit_on_files() {
+    if std::env::var_os("CURLEWHUB_UNDER_A_LIMIT").is_none() {
+        return;
+    }
+    let folder = Folder::new("limit");
+    let (mut own, problem) = OwnJournal::open(folder.place(), NOW, Some(anchor(NOW, SECOND)));
+    assert!(problem.is_none());
+    let mut memory = Memory::default();
+    let failed: Vec<u64> = (0..60).filter(|key| write(&mut own, &mut memory, *key).is_err()).collect();
+    assert!(failed.len() > 10 && failed.len() < 50, "{failed:?}");
+    assert_eq!(own.owed(), failed.len());
+    let written: BTreeSet<u64> = (0..60).filter(|key| !failed.contains(key)).collect();
+    assert_eq!(folder.keys(), written, "one slot is half written, and costs no other");
+    // A slot that is written goes on to be; one that is owed gets what it has to hold at last.
+    own.write(NOW, &memory.forget(0).unwrap()).unwrap();
+    own.write(NOW, &memory.forget(59).unwrap()).unwrap_err();
+    assert!(own.retry(NOW).is_err());
+    let process = std::process::id().to_string();
+    let lifted = Command::new("prlimit").args(["--fsize=unlimited", "--pid", &process]).status().unwrap();
+    assert!(lifted.success());
+    own.retry(NOW).unwrap();
+    assert!(!own.is_owing());
+    assert_eq!(folder.keys(), (1..59).collect());
+    println!("under a limit: done");
+}
+
+#[test]
+fn slots_that_the_kernel_refuses_are_written_once_it_takes_them() {
+    let own = std::env::current_exe().unwrap();
+    let script = "trap '' XFSZ; ulimit -S -f 2; exec \"$0\" --exact under_a_limit_on_files --nocapture";
+    let output = Command::new("sh")
+        .args(["-c", script])
+        .arg(own)
+        .env("CURLEWHUB_UNDER_A_LIMIT", "1")
+        .output()
+        .unwrap();
+    let said = String::from_utf8_lossy(&output.stdout).into_owned();
+    assert!(output.status.success() && said.contains("under a limit: done"), "{output:?}");
+}
+
+/// What a reader finds in these bytes; a file that can't be read holds nothing.
+fn found(bytes: &[u8]) -> Vec<Entry> {
+    read(bytes, ZONES_HASH).map(|contents| contents.entries).unwrap_or_default()
+}
+
+#[test]
+fn a_kill_at_any_byte_costs_only_what_was_being_written() {
+    let folder = Folder::new("cut");
+    let (mut own, _) = OwnJournal::open(folder.place(), NOW, Some(anchor(NOW, SECOND)));
+    let mut memory = Memory::default();
+    (0..4).for_each(|key| write(&mut own, &mut memory, key).unwrap());
+    let whole = std::fs::read(own.path()).unwrap();
+    let all = found(&whole);
+    assert_eq!(all.len(), 4);
+    for length in 0..=whole.len() {
+        let slots = length.saturating_sub(HEADER_BYTES + SLOT_BYTES) / SLOT_BYTES;
+        assert_eq!(found(&whole[..length]), all[..slots], "cut at {length}");
+    }
+    // The third slot is written over, by another key or by none, and the process is killed in between.
+    let at = HEADER_BYTES + 3 * SLOT_BYTES;
+    for forget in [true, false] {
+        own.write(NOW, &memory.forget(2).unwrap()).unwrap();
+        if !forget {
+            write(&mut own, &mut memory, 7).unwrap();
+        }
+        let over = std::fs::read(own.path()).unwrap();
+        for done in 0..=SLOT_BYTES {
+            let mut torn = whole.clone();
+            torn[at..at + done].copy_from_slice(&over[at..at + done]);
+            let left = found(&torn);
+            let kept: Vec<u64> = left.iter().map(|entry| entry.key).filter(|key| key % 7 != 2).collect();
+            let expected: &[u64] = if left.contains(&entry(7, NOW)) { &[0, 1, 7, 3] } else { &[0, 1, 3] };
+            assert_eq!(kept, expected, "{done} bytes");
+            assert!(left.iter().all(|entry| all.contains(entry) || found(&over).contains(entry)));
+        }
+        memory = Memory::default();
+        (0..4).for_each(|key| assert!(memory.note(NOW, entry(key, NOW)).is_some()));
+    }
+}
+
+#[test]
+fn a_half_written_header_costs_no_other_file() {
+    let folder = Folder::new("header");
+    let path = |name: u32| folder.0.join(format!("curlewhub-keys-s-{name}.bin"));
+    std::fs::write(path(1), BEFORE).unwrap();
+    for length in 0..HEADER_BYTES + SLOT_BYTES {
+        std::fs::write(path(2), &BEFORE[..length]).unwrap();
+        let (entries, problems) = folder.others().read();
+        assert_eq!(entries, found(BEFORE), "{length}");
+        assert!(problems.len() <= 1);
+    }
+}
+
+/// A process that sent a key `age` before the second one starts, which reads it; the wall clock steps in between.
+fn successor(folder: &Path, age: Duration, step_micros: i64, same_boot: bool) -> (Memory, Duration) {
+    let place =
+        JournalFolder { folder: folder.to_owned(), sidecar: "s".to_owned(), zones_hash: ZONES_HASH };
+    let up = Duration::from_secs(5000);
+    let (mut own, _) = OwnJournal::open(place, NOW, Some(anchor(NOW, up)));
+    let sent = NOW + SECOND;
+    own.write(sent, &Memory::default().note(sent, entry(1, sent)).unwrap()).unwrap();
+    drop(own);
+    let now = shift(sent + age, step_micros);
+    let boot: &[u8] = if same_boot { b"a boot" } else { b"another" };
+    let clock = ClockAnchor::new(boot, now, up + SECOND + age, up + SECOND + age);
+    let mut memory = Memory::default();
+    for found in Others::new(folder, "s", None, ZONES_HASH).read_on(Some(&clock)).0 {
+        memory.note(now, found);
+    }
+    (memory, now)
+}
+
+#[test]
+fn a_step_between_two_processes_neither_shortens_nor_lengthens_a_window() {
+    for step in [-3_600, -10, -1, 0, 1, 5, 10, 3_600] {
+        for age in [0, 1, 5, 6, 7] {
+            let folder = Folder::new("step");
+            let age = Duration::from_secs(age);
+            let (memory, now) = successor(&folder.0, age, step * 1_000_000, true);
+            assert_eq!(memory.find(now, 1).is_some(), age < WINDOW, "step {step} s, sent {age:?} ago");
+            assert!(memory.find(now + WINDOW.saturating_sub(age), 1).is_none(), "step {step} s, {age:?}");
+        }
+    }
+}
+
+#[test]
+fn over_a_boot_or_a_sleep_the_wall_clock_is_all_there_is() {
+    let folder = Folder::new("boot");
+    let (memory, now) = successor(&folder.0, SECOND, 0, false);
+    assert!(memory.find(now, 1).is_some());
+    let slept = |since_boot: u64, ran: u64| {
+        ClockAnchor::new(b"a boot", NOW, Duration::from_secs(since_boot), Duration::from_secs(ran))
+    };
+    assert_eq!(slept(100, 90).correction_micros(&slept(50, 50)), None);
+    assert_eq!(slept(100, 90).correction_micros(&slept(60, 50)), Some(-40_000_000));
+    let bytes = slept(100, 90).to_bytes();
+    assert_eq!(ClockAnchor::from_bytes(&bytes), Some(slept(100, 90)));
+    assert_eq!(ClockAnchor::from_bytes(&bytes[1..]), None);
+    assert_eq!(ClockAnchor::from_bytes(&vec![0; bytes.len()]), None);
+}
+
+#[test]
+fn files_are_removed_by_real_time_and_never_those_of_a_living_process() {
+    let folder = Folder::new("clear");
+    let up = Duration::from_secs(5000);
+    let (mut own, _) = OwnJournal::open(folder.place(), NOW, Some(anchor(NOW, up)));
+    write(&mut own, &mut Memory::default(), 1).unwrap();
+    let clear = |real: Duration, step: i64| {
+        let now = shift(NOW + real, step * 1_000_000);
+        let clock = anchor(now, up + real);
+        folder.others().clear_on(Duration::from_secs(66), Some((&clock, now)))
+    };
+    assert_eq!(clear(Duration::from_secs(7200), 0), 0, "it lives, and has only been quiet");
+    assert_eq!(folder.others().clear(Duration::ZERO), 0, "the same by the time of the file");
+    drop(own);
+    assert_eq!(clear(SECOND, 3600) + clear(SECOND, -3600) + clear(Duration::from_secs(60), 0), 0);
+    assert_eq!(clear(Duration::from_secs(70), -3600), 1);
+    // What has no clock goes by the time of the file.
+    Journal::create(&folder.0, "s", NOW, ZONES_HASH).unwrap();
+    assert_eq!(clear(Duration::from_secs(7200), 0), 0);
+}
+
+proptest! {
+    /// A slot written over another is the old one, the new one, or none, wherever the write is cut.
+    #[test]
+    fn a_torn_slot_is_never_a_wrong_one(old in any::<(u64, u32, u64, u64)>(), new in any::<(u64, u32, u64, u64)>(), cut in 0..=SLOT_BYTES) {
+        let make = |(key, zone, cell, micros): (u64, u32, u64, u64)| {
+            Entry { key, zone, cell, sent: Duration::from_micros(micros), window: WINDOW }
+        };
+        let folder = Folder::new("torn");
+        let bytes = [old, new].map(|fields| {
+            let journal = Journal::create(&folder.0, "s", NOW, ZONES_HASH).unwrap();
+            journal.write(&curlewhub_keys::SlotWrite { slot: 0, entry: Some(make(fields)) }).unwrap();
+            let bytes = std::fs::read(journal.path()).unwrap();
+            std::fs::remove_file(journal.path()).unwrap();
+            bytes
+        });
+        let at = HEADER_BYTES + cut;
+        let torn = [&bytes[1][..at], &bytes[0][at..]].concat();
+        for entry in found(&torn) {
+            prop_assert!(entry == make(old) || entry == make(new));
+        }
+    }
+}
--- a/crates/runtime/src/bans.rs
+++ b/crates/runtime/src/bans.rs
@@ -1,14 +1,20 @@
 //! The endpoints that operators have taken out of use: known by uid, so that a ban outlives the
 //! endpoint's place in the list, and kept in a file, so that it outlives the process.
 
+use curlewhub_snapshot::{remove_temporary_files, replace_file};
 use serde::{Deserialize, Serialize};
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
-use tracing::{error, warn};
+use std::time::Duration;
+use tokio::time::Instant;
+use tracing::{error, info, warn};
+
+/// A file that could not be read or written is tried again this often.
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The form of the file that this version writes and reads.
 const VERSION: u32 = 1;
@@ -23,6 +29,17 @@
 pub struct Bans {
     path: PathBuf,
     out: RefCell<BTreeSet<String>>,
+    owed: Cell<Owed>,
+}
+
+/// What has to be done with the file as soon as the disk lets it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Owed {
+    Nothing,
+    /// It could not be read: it may hold bans that are not in force.
+    Read(Instant),
+    /// It could not be written: it does not hold the bans that are in force.
+    Write(Instant),
 }
 
 impl Bans {
@@ -31,19 +48,58 @@
     pub fn load(folder: &Path, listen: SocketAddr) -> Rc<Self> {
         // One folder may serve several sidecars; no two listen at the same address.
         let path = folder.join(format!("curlewhub-bans-{}-{}.json", listen.ip(), listen.port()));
-        let out = match std::fs::read(&path) {
+        remove_temporary_files(&path);
+        let bans = Bans { path, out: RefCell::default(), owed: Cell::new(Owed::Nothing) };
+        bans.read_file();
+        Rc::new(bans)
+    }
+
+    /// Reads the file; if that fails it is owed.
+    fn read_file(&self) {
+        let out = match std::fs::read(&self.path) {
             Ok(bytes) => read(&bytes).unwrap_or_else(|problem| {
-                warn!(path = %path.display(), problem, "the bans can't be read; starting with none");
-                let _ = std::fs::rename(&path, path.with_extension("spoilt")); // only for whoever looks into it
+                warn!(path = %self.path.display(), problem, "the bans can't be read; starting with none");
+                let aside = self.path.with_extension("spoilt");
+                let _ = std::fs::rename(&self.path, aside); // only for whoever looks into it
                 BTreeSet::new()
             }),
             Err(e) if e.kind() == io::ErrorKind::NotFound => BTreeSet::new(),
             Err(e) => {
-                warn!(path = %path.display(), error = %e, "the bans can't be read; starting with none");
-                BTreeSet::new()
+                if self.owed.get() == Owed::Nothing {
+                    warn!(path = %self.path.display(), error = %e, "the bans can't be read; none until they can");
+                }
+                return self.owed.set(Owed::Read(Instant::now() + RETRY_INTERVAL));
             }
         };
-        Rc::new(Bans { path, out: RefCell::new(out) })
+        self.out.replace(out);
+        self.owed.set(Owed::Nothing);
+    }
+
+    /// When to call [`Bans::retry`]; none while nothing is owed.
+    pub fn retry_at(&self) -> Option<Instant> {
+        match self.owed.get() {
+            Owed::Nothing => None,
+            Owed::Read(at) | Owed::Write(at) => Some(at),
+        }
+    }
+
+    /// Reads or writes the file if that is owed and it is time. Returns the bans that hold from now on.
+    pub fn retry(&self) -> Vec<String> {
+        let now = Instant::now();
+        match self.owed.get() {
+            Owed::Read(at) if at <= now => {
+                self.read_file();
+                self.all()
+            }
+            Owed::Write(at) if at <= now => {
+                let out = self.out.borrow().clone();
+                if self.write(&out).is_ok() {
+                    info!(path = %self.path.display(), "the bans are kept on disk again");
+                }
+                Vec::new()
+            }
+            _ => Vec::new(),
+        }
     }
 
     /// Whether this endpoint is out of use.
@@ -57,8 +113,14 @@
     }
 
     /// Takes an endpoint out of use or gives it back: once this returns, that is on disk. Where it
-    /// can't be written nothing changes.
+    /// can't be written nothing changes, nor where the file has not been read yet: its bans would be lost.
+    ///
+    /// # Errors
+    /// It can't be kept.
     pub fn set(&self, uid: &str, on: bool) -> io::Result<()> {
+        if let Owed::Read(_) = self.owed.get() {
+            return Err(io::Error::other("the bans before have not been read yet"));
+        }
         let mut new = self.out.borrow().clone();
         let changed = if on { new.insert(uid.to_owned()) } else { new.remove(uid) };
         if changed {
@@ -71,8 +133,10 @@
     /// These and no others are out of use: what the process before says counts for more than the file.
     pub fn replace(&self, uids: Vec<String>) {
         let new: BTreeSet<String> = uids.into_iter().collect();
+        self.owed.set(Owed::Nothing); // what the file may hold counts no more
         if let Err(e) = self.write(&new) {
             // They hold all the same, in both processes.
+            self.owed.set(Owed::Write(Instant::now() + RETRY_INTERVAL));
             error!(path = %self.path.display(), error = %e, "the bans can't be kept on disk");
         }
         self.out.replace(new);
@@ -81,9 +145,13 @@
     /// Writes beside the file and renames, so that nobody ever reads half of it.
     fn write(&self, detached: &BTreeSet<String>) -> io::Result<()> {
         let text = serde_json::to_vec(&File { version: VERSION, detached: detached.clone() })?;
-        let beside = self.path.with_extension(format!("{}.new", std::process::id()));
-        std::fs::write(&beside, text)?;
-        std::fs::rename(beside, &self.path)
+        let written = replace_file(&self.path, &text);
+        self.owed.set(match (&written, self.owed.get()) {
+            (Ok(()), _) => Owed::Nothing,
+            (Err(_), Owed::Write(_)) => Owed::Write(Instant::now() + RETRY_INTERVAL),
+            (Err(_), owed) => owed,
+        });
+        written
     }
 }
 
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -156,6 +156,8 @@
         loop {
             let next = self.timers.next().unwrap_or(self.summary_at);
             let next = self.sharing.next().map_or(next, |at| at.min(next));
+            let retry_at = self.keyed.retry_at().into_iter().chain(self.bans.retry_at()).min();
+            let next = retry_at.map_or(next, |at| at.min(next));
             tokio::select! {
                 biased;
                 // Operators wait for a second at most, whatever else does.
@@ -175,6 +177,10 @@
         while let Some(token) = self.timers.take_due(now) {
             self.handle(Event::Timer(TimerToken(token)));
         }
+        self.keyed.retry();
+        for uid in self.bans.retry() {
+            self.hold_back(&uid, true);
+        }
         let open = self.requests.len();
         self.share(|sharing, module| sharing.look(open, module));
         if now >= self.summary_at {
--- a/crates/runtime/src/learnt.rs
+++ b/crates/runtime/src/learnt.rs
@@ -6,7 +6,8 @@
 use crate::figures::Figures;
 use crate::handover::Handover;
 use crate::lifecycle::{Lifecycle, State};
-use curlewhub_snapshot::{Store, decode, encode};
+use curlewhub_keys::ClockAnchor;
+use curlewhub_snapshot::{Store, appendix, decode_moved, encode_with};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -56,12 +57,19 @@
         let (told, learnt) = oneshot::channel();
         self.commands.send(Command::Learnt(told)).ok()?;
         let snapshot = timeout(DRIVER_TIME, learnt).await.ok()?.ok()?;
-        encode(&snapshot, self.fingerprint).map_err(|refused| warn!(%refused, "snapshot: not taken")).ok()
+        let anchor = self.clock.anchor().map(|anchor| anchor.to_bytes()).unwrap_or_default();
+        encode_with(&snapshot, self.fingerprint, &anchor)
+            .map_err(|refused| warn!(%refused, "snapshot: not taken"))
+            .ok()
     }
 
     /// Lets the module start from these bytes; whether it does. `from` is for the log.
     pub async fn give(&self, bytes: &[u8], from: &'static str) -> bool {
-        let snapshot = match decode(bytes, self.fingerprint, self.clock.now()) {
+        let (other, now) = (ClockAnchor::from_bytes(appendix(bytes)), self.clock.now());
+        let correction = self.clock.anchor().zip(other);
+        let correction =
+            correction.and_then(|(own, other)| own.correction_micros(&other)).unwrap_or_default();
+        let snapshot = match decode_moved(bytes, self.fingerprint, now, correction) {
             Ok(snapshot) => snapshot,
             Err(refused) => {
                 warn!(from, reason = %refused, "snapshot: refused; starting without");
@@ -79,6 +87,7 @@
 
     /// Starts from the file, if there is one.
     pub async fn read(&self) {
+        self.store.remove_temporary_files();
         match self.store.read() {
             Ok(Some(bytes)) => drop(self.give(&bytes, "file").await),
             Ok(None) => info!("snapshot: none is kept here; starting with nothing learnt"),
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -4,12 +4,14 @@
 //! A header precedes the payload (postcard). Its fields are little-endian: magic (4 bytes), version (2), the fingerprint
 //! of the settings (8), the length of the payload (4), and a CRC-32 of the header so far and the payload (4). Invalid
 //! bytes are rejected with a specific error, and the process starts without them.
+//!
+//! An appendix may follow the snapshot within the payload; versions that know of none ignore it.
 
 #![warn(clippy::too_many_lines)]
 
 mod store;
 
-pub use store::Store;
+pub use store::{Store, remove_temporary_files, replace_file};
 
 use curlewhub_balance::{AGE_MOST, Settings, Snapshot};
 use fnv::FnvHasher;
@@ -95,7 +97,20 @@
 /// # Errors
 /// It would be longer than [`MAX_BYTES`].
 pub fn encode(snapshot: &Snapshot, fingerprint: u64) -> Result<Vec<u8>, SnapshotError> {
-    let payload = postcard::to_stdvec(snapshot).map_err(|_| SnapshotError::Malformed)?;
+    encode_with(snapshot, fingerprint, &[])
+}
+
+/// Encodes a snapshot and an appendix, which [`appendix`] gives back.
+///
+/// # Errors
+/// It would be longer than [`MAX_BYTES`].
+pub fn encode_with(
+    snapshot: &Snapshot,
+    fingerprint: u64,
+    appendix: &[u8],
+) -> Result<Vec<u8>, SnapshotError> {
+    let mut payload = postcard::to_stdvec(snapshot).map_err(|_| SnapshotError::Malformed)?;
+    payload.extend_from_slice(appendix);
     let most = MAX_BYTES - HEADER_BYTES;
     if payload.len() > most {
         return Err(SnapshotError::TooLong { have: payload.len(), most });
@@ -154,12 +169,32 @@
     if snapshot.is_sound() { Ok((snapshot, fingerprint)) } else { Err(SnapshotError::Malformed) }
 }
 
+/// The appendix of a snapshot that [`decode_any`] can read; empty if there is none.
+pub fn appendix(bytes: &[u8]) -> &[u8] {
+    let payload = bytes.get(HEADER_BYTES..).unwrap_or_default();
+    postcard::take_from_bytes::<Snapshot>(payload).map(|(_snapshot, rest)| rest).unwrap_or_default()
+}
+
 /// Decodes a snapshot for use now, under settings of this fingerprint.
 ///
 /// # Errors
 /// Why it can't be used.
 pub fn decode(bytes: &[u8], fingerprint: u64, now: Duration) -> Result<Snapshot, SnapshotError> {
+    decode_moved(bytes, fingerprint, now, 0)
+}
+
+/// The same of a process whose clock has to be corrected by so many microseconds.
+///
+/// # Errors
+/// Why it can't be used.
+pub fn decode_moved(
+    bytes: &[u8],
+    fingerprint: u64,
+    now: Duration,
+    correction_micros: i64,
+) -> Result<Snapshot, SnapshotError> {
     let (snapshot, found) = decode_any(bytes)?;
+    let snapshot = snapshot.moved(correction_micros);
     if found != fingerprint {
         return Err(SnapshotError::Configuration);
     }
--- a/crates/snapshot/src/store.rs
+++ b/crates/snapshot/src/store.rs
@@ -23,6 +23,11 @@
         &self.path
     }
 
+    /// Removes what killed processes have left half written.
+    pub fn remove_temporary_files(&self) -> usize {
+        remove_temporary_files(&self.path)
+    }
+
     /// Reads the file; none if there is no file.
     ///
     /// # Errors
@@ -45,12 +50,38 @@
     /// # Errors
     /// They can't be written; the file stays as it was.
     pub fn write(&self, bytes: &[u8]) -> io::Result<()> {
-        let temporary = self.path.with_extension(format!("{}.new", std::process::id()));
-        let written =
-            std::fs::write(&temporary, bytes).and_then(|()| std::fs::rename(&temporary, &self.path));
-        if written.is_err() {
-            let _ = std::fs::remove_file(&temporary); // a full disk must not keep half of it
-        }
-        written
+        replace_file(&self.path, bytes)
+    }
+}
+
+/// Replaces the contents of a file by way of a temporary file that is then renamed, so that neither a reader nor a crash
+/// finds half of them. The temporary file does not stay, whatever fails.
+///
+/// # Errors
+/// They can't be written; the file stays as it was.
+pub fn replace_file(path: &Path, bytes: &[u8]) -> io::Result<()> {
+    let temporary = temporary(path, std::process::id());
+    let written = std::fs::write(&temporary, bytes).and_then(|()| std::fs::rename(&temporary, path));
+    if written.is_err() {
+        let _ = std::fs::remove_file(&temporary); // a full disk must not keep half of it
     }
+    written
+}
+
+/// Removes temporary files of this file that killed processes have left, and returns how many.
+pub fn remove_temporary_files(path: &Path) -> usize {
+    let listed = path.parent().and_then(|folder| std::fs::read_dir(folder).ok());
+    let left = |beside: &PathBuf| {
+        let process =
+            beside.file_stem().and_then(|stem| Path::new(stem).extension()?.to_str()?.parse().ok());
+        process.is_some_and(|process: u32| {
+            *beside == temporary(path, process) && !Path::new(&format!("/proc/{process}")).exists()
+        })
+    };
+    let paths = listed.into_iter().flatten().flatten().map(|entry| entry.path());
+    paths.filter(left).filter(|path| std::fs::remove_file(path).is_ok()).count()
+}
+
+fn temporary(path: &Path, process: u32) -> PathBuf {
+    path.with_extension(format!("{process}.new"))
 }
