--- a/crates/balance/src/stats.rs
+++ b/crates/balance/src/stats.rs
@@ -23,8 +23,11 @@
     at: Duration,
 }
 
-/// A time on a clock that is ahead by so many microseconds.
+/// A time on a clock that is ahead by so many microseconds. Zero stands for never, and stays.
 pub(crate) fn moved(at: Duration, micros: i64) -> Duration {
+    if at.is_zero() {
+        return at;
+    }
     let by = Duration::from_micros(micros.unsigned_abs());
     if micros < 0 { at.saturating_sub(by) } else { at.saturating_add(by) }
 }
--- a/crates/curlewhub/tests/support/mod.rs
+++ b/crates/curlewhub/tests/support/mod.rs
@@ -433,9 +433,14 @@
     /// Starts a second process beside this one: another second address, and all else the same. It need
     /// not be ready yet.
     pub fn successor(&self, config: &Value) -> Sidecar {
+        self.successor_with(config, "")
+    }
+
+    /// The same with words of the shell in front of the program.
+    pub fn successor_with(&self, config: &Value, prefix: &str) -> Sidecar {
         let mut config = config.clone();
         config["operator"] = json!(nowhere().to_string());
-        let (mut command, file) = command(&config.to_string(), "");
+        let (mut command, file) = command(&config.to_string(), prefix);
         let log = std::fs::File::create(file.with_extension("log")).unwrap();
         let child = command.env("TMPDIR", &self.folder).stderr(log).spawn().unwrap();
         let operator = config["operator"].as_str().map(|at| at.parse().unwrap());
