--- a/crates/fleet/src/agent.rs
+++ b/crates/fleet/src/agent.rs
@@ -69,6 +69,7 @@
     holder: Holder,
     /// None until it can be reached under its name: a successor waits for its predecessor's address.
     members: Option<Members>,
+    by_clock: bool,
     /// Peers that the holder speaks to, and where they are.
     peers: BTreeMap<String, SocketAddr>,
     peers_at: Duration,
@@ -88,14 +89,24 @@
         holder.peers(peers.keys().cloned().collect());
         let (members, not_heard) = Default::default();
         let (peers_at, tells_at) = (now + PEERS_ANEW, now + PACE.mul_f64(draws.random()));
-        Agent { begin, holder, members, peers, peers_at, tells_at, draws, not_heard }
+        Agent { begin, holder, members, by_clock: false, peers, peers_at, tells_at, draws, not_heard }
     }
 
     /// It is reached under its name from now on, and a member.
     pub fn join(&mut self, now: Duration) {
         let seeds: Vec<_> = self.begin.keepers.iter().chain(&self.begin.peers).cloned().collect();
-        self.members
-            .get_or_insert_with(|| Members::new(self.begin.own.clone(), &seeds, self.draws.random(), now));
+        if self.members.is_none() {
+            let mut members = Members::new(self.begin.own.clone(), &seeds, self.draws.random(), now);
+            if self.by_clock {
+                members.counts_by_clock();
+            }
+            self.members = Some(members);
+        }
+    }
+
+    /// Its incarnation is the clock's: see [`Members::counts_by_clock`].
+    pub fn counts_by_clock(&mut self) {
+        self.by_clock = true;
     }
 
     /// The keepers' names.
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -40,6 +40,10 @@
 const BACK: Duration = Duration::from_millis(100);
 const BACK_MOST: Duration = Duration::from_secs(3);
 const BACK_ANEW: Duration = Duration::from_secs(10);
+/// A start that counts by the clock, as its folder knew of no earlier one, goes above a number of its own name that it meets
+/// within this: the time in which whoever is there tells it of that, and who is gone is still taken for there. Once, so that
+/// two that do run end with the later one.
+const CLOCK_DISTRUSTED: Duration = Duration::from_secs(10);
 /// Members that foca's settings are made for at first; they follow the fleet's size by doubling.
 const SIZE_LEAST: u32 = 8;
 
@@ -162,6 +166,8 @@
     seek_after: Duration,
     size: u32,
     displaced: bool,
+    /// Until when it goes above a greater number of its own name, where its own is the clock's.
+    distrusts_until: Option<Duration>,
     /// It is taken for gone, and comes back then.
     back_at: Option<Duration>,
     back_after: Duration,
@@ -218,6 +224,7 @@
             seek_after: SEEK,
             size: SIZE_LEAST,
             displaced: false,
+            distrusts_until: None,
             back_at: None,
             back_after: BACK,
             back_last: now,
@@ -225,6 +232,12 @@
         }
     }
 
+    /// Its incarnation is the clock's, as its folder knew of no earlier start. A clock may have been stepped back since one: a
+    /// greater number that others know of its name, at whatever address, is gone above once, as a suspicion is refuted.
+    pub fn counts_by_clock(&mut self) {
+        self.distrusts_until = Some(self.now + CLOCK_DISTRUSTED);
+    }
+
     /// This process, as others know it.
     pub fn own(&self) -> &Member {
         self.foca.identity()
@@ -311,6 +324,9 @@
         }
         match self.looked_through(bytes)? {
             Named::Sound => {}
+            Named::Displaces(by) if self.distrusts_until.take().is_some_and(|until| self.now < until) => {
+                return Ok(self.outlive(&by));
+            }
             Named::Displaces(by) => {
                 self.displaced = true;
                 self.timers.clear();
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -127,6 +127,48 @@
     assert!(group.seen.iter().any(|seen| seen.1 == Action::Outlives(at.unwrap())));
 }
 
+#[test]
+fn one_that_counts_by_a_clock_that_went_back_is_a_member_at_a_new_address() {
+    let seeds = [("a".to_owned(), member("a", 1, 1).at)];
+    // Its earlier start is gone since long, was killed just now, or runs on beside it.
+    for (earlier_runs, gone_for) in [(false, 30), (false, 0), (true, 0)] {
+        let mut group = Group::new(&[member("a", 1, 1), member("b", 1, 2), member("c", 900, 3)]);
+        group.run(Duration::from_secs(5));
+        let earlier = group.members.pop();
+        group.run(Duration::from_secs(gone_for));
+        let mut started = Members::new(member("c", 7, 4), &seeds, 3, group.now);
+        started.counts_by_clock();
+        group.members.push(started);
+        group.members.extend(earlier.filter(|_| earlier_runs));
+        group.run(Duration::from_secs(20));
+        let at = group.incarnation(0, "c");
+        assert!(at > Some(900), "{at:?} after {gone_for} s");
+        assert_eq!((group.incarnation(1, "c"), group.members[2].own().incarnation), (at, at.unwrap()));
+        assert!(!group.members[2].is_displaced());
+        assert!(group.members.get(3).is_none_or(Members::is_displaced), "one of the two");
+    }
+}
+
+#[test]
+fn of_two_that_count_by_their_clocks_one_stays() {
+    for (first, second) in [(7, 900), (900, 7)] {
+        let seeds = [("a".to_owned(), member("a", 1, 1).at)];
+        let mut group = Group::new(&[member("a", 1, 1), member("b", 1, 2)]);
+        for (incarnation, port) in [(first, 3), (second, 4)] {
+            let mut one = Members::new(member("c", incarnation, port), &seeds, 3, group.now);
+            one.counts_by_clock();
+            group.members.push(one);
+            group.run(Duration::from_secs(2));
+        }
+        group.run(Duration::from_secs(40));
+        let displaced: Vec<_> = group.members[2..].iter().filter(|c| c.is_displaced()).collect();
+        assert_eq!(displaced.len(), 1);
+        let outlived = group.seen.iter().filter(|seen| matches!(seen.1, Action::Outlives(_))).count();
+        assert!((1..=2).contains(&outlived), "{outlived}: each once at the most");
+        assert_eq!(group.incarnation(0, "c"), group.incarnation(1, "c"));
+    }
+}
+
 #[test]
 fn names_that_cannot_be_are_not_taken() {
     let mut own = Members::new(member("own", 5, 1), &[], 1, Duration::ZERO);
