--- a/crates/fleet-node/src/lib.rs
+++ b/crates/fleet-node/src/lib.rs
@@ -11,9 +11,11 @@
 mod rollout;
 mod store;
 mod traffic;
+mod transient;
 
 pub use follower::{Acts, Manner, Standing, follow};
 pub use keeper::keep;
 pub use kept::ViewFile;
 pub use store::{Store, StoreError};
 pub use traffic::{Flow, Lost, MessageKind, Traffic};
+pub use transient::{Uninterrupted, accept_pause};
--- a/crates/fleet-node/src/links.rs
+++ b/crates/fleet-node/src/links.rs
@@ -2,6 +2,7 @@
 //! datagrams, for what is small and may be lost.
 
 use crate::traffic::{Lost, Traffic};
+use crate::transient::{Uninterrupted, accept_pause, is_interrupted, retry_interrupted};
 use curlewhub_fleet::wire::{Dropped, FORMAT, FORMAT_LEAST, Keys, MESSAGE_MOST, Message, Said, Who};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -12,7 +13,7 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::sync::{Semaphore, mpsc};
-use tokio::task::spawn_local;
+use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep, timeout};
 use tracing::warn;
 
@@ -168,7 +169,7 @@
         let Some(socket) = self.datagrams.borrow().clone() else { return };
         let message = Message { from: self.who.borrow().clone(), said };
         let bytes = self.keys.write(&message, FORMAT);
-        if bytes.len() <= DATAGRAM_MOST && socket.try_send_to(&bytes, to).is_ok() {
+        if bytes.len() <= DATAGRAM_MOST && retry_interrupted(|| socket.try_send_to(&bytes, to)).is_ok() {
             self.traffic.went(&message.said, bytes.len());
         } else {
             self.traffic.lost(Lost::DatagramRefused);
@@ -181,9 +182,16 @@
         *self.datagrams.borrow_mut() = Some(socket.clone());
         let mut buffer = vec![0; DATAGRAM_MOST + 1];
         loop {
-            let Ok((n, from)) = socket.recv_from(&mut buffer).await else {
-                sleep(Duration::from_millis(1)).await; // an earlier one was refused where it went
-                continue;
+            let (n, from) = match socket.recv_from(&mut buffer).await {
+                Ok(received) => received,
+                Err(e) if is_interrupted(&e) => {
+                    yield_now().await;
+                    continue;
+                }
+                Err(_) => {
+                    sleep(Duration::from_millis(1)).await; // an earlier one was refused where it went
+                    continue;
+                }
             };
             self.traffic.came(n);
             match self.keys.read(&buffer[..n]) {
@@ -277,7 +285,10 @@
                     });
                 }
                 Ok(_) => self.traffic.lost(Lost::ConnectionLimit), // it is closed, and comes again
-                Err(_) => sleep(Duration::from_millis(10)).await,
+                Err(e) => match accept_pause(&e) {
+                    Some(pause) => sleep(pause).await,
+                    None => yield_now().await,
+                },
             }
         }
     }
@@ -376,11 +387,17 @@
 /// # Errors
 /// It can't.
 pub async fn connect(from: IpAddr, at: SocketAddr) -> io::Result<TcpStream> {
-    let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    if from.is_ipv4() == at.is_ipv4() && !from.is_unspecified() {
-        socket.bind(SocketAddr::new(from, 0))?;
+    loop {
+        let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+        if from.is_ipv4() == at.is_ipv4() && !from.is_unspecified() {
+            retry_interrupted(|| socket.bind(SocketAddr::new(from, 0)))?;
+        }
+        match socket.connect(at).await {
+            // Of a socket whose connect was interrupted nothing is known (connect(2)): another one is taken.
+            Err(e) if is_interrupted(&e) => yield_now().await,
+            connected => return connected,
+        }
     }
-    socket.connect(at).await
 }
 
 /// Writes a frame.
@@ -388,6 +405,7 @@
 /// # Errors
 /// The connection ends, or its reader takes nothing for too long.
 pub async fn write(into: &mut (impl AsyncWrite + Unpin), bytes: &[u8]) -> io::Result<()> {
+    let mut into = Uninterrupted(into);
     let written = async {
         into.write_all(&(bytes.len() as u32).to_be_bytes()).await?;
         into.write_all(bytes).await?;
@@ -401,6 +419,7 @@
 /// # Errors
 /// The connection ends, the frame is too long, or its end does not come.
 pub async fn read(from: &mut (impl AsyncRead + Unpin), large: &Semaphore) -> io::Result<Vec<u8>> {
+    let mut from = Uninterrupted(from);
     let length = from.read_u32().await? as usize;
     if length > MESSAGE_MOST {
         return Err(io::Error::new(io::ErrorKind::InvalidData, Dropped::TooLong));
