--- a/crates/fleet-node/src/follower.rs
+++ b/crates/fleet-node/src/follower.rs
@@ -3,6 +3,7 @@
 use crate::config::{FleetConfig, keys};
 use crate::kept::ViewFile;
 use crate::links::Links;
+use crate::storage::retry_after;
 use crate::traffic::Traffic;
 use curlewhub_config::live;
 use curlewhub_fleet::acted::{Acted, Came, NotTaken};
@@ -150,13 +151,28 @@
     acts_at: tokio::time::Instant,
 }
 
+/// Whether the folder keeps what is handed to it.
+enum Disk {
+    /// The last write was synced.
+    Keeps,
+    /// It was not: so many writes in a row, and the next one is then.
+    Failing { attempts: u32, retry_at: tokio::time::Instant },
+}
+
+impl Disk {
+    fn failed(attempts: u32) -> Disk {
+        let retry_at = tokio::time::Instant::now() + retry_after(attempts);
+        Disk::Failing { attempts: attempts.saturating_add(1), retry_at }
+    }
+}
+
 struct Follower<'a, A: Acts> {
     config: &'a FleetConfig,
     side: Side,
     links: Rc<Links>,
     file: ViewFile,
     listens: bool,
-    failing: bool,
+    disk: Disk,
     /// What is being written down, by a thread of its own: no disk holds traffic up.
     keeping: Option<Keeping>,
     /// What it acts on.
@@ -181,7 +197,10 @@
     let keys = keys(config)?;
     let file = ViewFile::new(&config.state_dir);
     // A folder that can't be written to is no reason not to follow: it is only of use after a start.
-    let incarnation = file.incarnation(unix_ms(config)).unwrap_or_else(|problem| {
+    let by_clock = !file.has_started().unwrap_or(false);
+    let written = file.incarnation(unix_ms(config));
+    let failing = written.is_err();
+    let incarnation = written.unwrap_or_else(|problem| {
         warn!(%problem, "fleet: the view can't be kept");
         unix_ms(config)
     });
@@ -204,11 +223,15 @@
     let links = Links::new(ACCEPTED_MOST, who, keys, config.listen.ip(), addresses, inbox);
     info!(version = view.version().0, hash = ?view.hash(), incarnation, "fleet: following");
     let own = own(config, Role::Sidecar, incarnation);
-    let agent = Agent::new(Begin { own, keepers, peers, view, seed: rand::random() }, Duration::ZERO);
+    let mut agent = Agent::new(Begin { own, keepers, peers, view, seed: rand::random() }, Duration::ZERO);
+    if by_clock {
+        agent.counts_by_clock();
+    }
     let part = (!manner.halls.is_empty())
         .then(|| Part::new(&config.name, &config.hall, manner.halls, config.places.clone()));
     let side = Side::new(agent, part, Duration::ZERO);
-    let (began, witness, failing, keeping) = (Instant::now(), manner.witness, false, None);
+    let (began, witness, keeping) = (Instant::now(), manner.witness, None);
+    let disk = if failing { Disk::failed(0) } else { Disk::Keeps };
     let (acted, subscriber) = (Acted::default(), Subscriber::new(&config.name, &config.hall));
     let mut follower = Follower {
         config,
@@ -216,7 +239,7 @@
         links,
         file,
         listens: false,
-        failing,
+        disk,
         keeping,
         acted,
         subscriber,
@@ -296,6 +319,13 @@
             config_refusals,
         });
         self.report_config();
+        // What was not kept is written anew, also where nothing new is decided.
+        if let Disk::Failing { retry_at, .. } = self.disk
+            && self.keeping.is_none()
+            && tokio::time::Instant::now() >= retry_at
+        {
+            self.keep();
+        }
         if !self.listens
             && let Ok(doors) = listen(self.config).await
         {
@@ -351,6 +381,7 @@
                 );
                 self.links.is(incarnation);
                 let file = self.file.clone();
+                file.counts_by(incarnation); // written with the next view at the latest
                 spawn_blocking(move || file.incarnation(incarnation)); // for the next start; not waited for
             }
             Action::Renewed => info!("fleet: taken for gone, and back"),
@@ -401,13 +432,19 @@
     }
 
     fn kept(&mut self, done: std::io::Result<()>) -> Vec<side::Action> {
-        if let Err(problem) = &done
-            && !self.failing
-        {
-            // It acts on what it holds whether its disk keeps it or not: only a start after a crash is the worse for it.
-            warn!(%problem, "fleet: the view can't be kept");
-        }
-        self.failing = done.is_err();
+        self.disk = match (&done, &self.disk) {
+            (Ok(()), Disk::Keeps) => Disk::Keeps,
+            (Ok(()), Disk::Failing { .. }) => {
+                info!("fleet: the view is kept again");
+                Disk::Keeps
+            }
+            (Err(problem), Disk::Keeps) => {
+                // It acts on what it holds whether its disk keeps it or not: only a start after a crash is the worse for it.
+                warn!(%problem, "fleet: the view can't be kept");
+                Disk::failed(0)
+            }
+            (Err(_), Disk::Failing { attempts, .. }) => Disk::failed(*attempts),
+        };
         let Some(keeping) = self.keeping.take() else { return Vec::new() };
         let actions = self.act(&keeping.view, false);
         if self.side.agent.view().version() > self.acted.version() {
--- a/crates/fleet-node/src/keeper.rs
+++ b/crates/fleet-node/src/keeper.rs
@@ -6,12 +6,13 @@
 use crate::follower::{listen, own, unix_ms};
 use crate::links::Links;
 use crate::rollout::{Commanded, Rollouts};
-use crate::store::Store;
-use curlewhub_fleet::keeper::{Keeper, TICK};
+use crate::storage::{Reopened, Storage, retry_after};
+use crate::store::{OpenDatabase, Store, StoreError, StoreFile, open_database};
+use curlewhub_fleet::keeper::{Keeper, Kept, TICK};
 use curlewhub_fleet::members::{Member, Members, Role, Standing};
 use curlewhub_fleet::record::{Kind, Proposal};
 use curlewhub_fleet::seat::{Output, Seat};
-use curlewhub_fleet::wire::{Message, Said, Who};
+use curlewhub_fleet::wire::{Keys, Message, Said, Who};
 use curlewhub_locality::keeping::Keeping;
 use curlewhub_locality::machine::Moved;
 use curlewhub_locality::warden::Warden;
@@ -21,8 +22,8 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
-use tokio::time::{MissedTickBehavior, interval};
-use tracing::{error, info};
+use tokio::time::{MissedTickBehavior, interval, sleep};
+use tracing::{error, info, warn};
 
 /// Connections that it accepts at once, at the most: as many sidecars and a few operators.
 const ACCEPTED_MOST: usize = 16_384;
@@ -31,10 +32,12 @@
 /// Messages dealt with before what they want kept is synced, at the most: one sync for many.
 const AT_ONCE: usize = 64;
 
-struct Process {
+struct Process<'a> {
+    config: &'a FleetConfig,
+    id: u64,
     keeping: Keeping,
     rollouts: Rollouts,
-    store: Store,
+    storage: Storage,
     links: Rc<Links>,
     began: Instant,
     leader: u64,
@@ -49,78 +52,230 @@
     config: &FleetConfig,
     begins: bool,
     leave: impl Future<Output = ()>,
+) -> Result<(), String> {
+    keep_with(config, begins, open_database(), leave).await
+}
+
+/// As [`keep`], over databases that are opened so.
+///
+/// # Errors
+/// As [`keep`].
+pub async fn keep_with(
+    config: &FleetConfig,
+    begins: bool,
+    open: OpenDatabase,
+    leave: impl Future<Output = ()>,
 ) -> Result<(), String> {
     let id = config.id().ok_or("name: allowed: that of one of `keepers`")?;
     let keys = keys(config)?;
-    let at = |e: &dyn std::fmt::Display| format!("state_dir: {}: {e}", config.state_dir.display());
-    std::fs::create_dir_all(&config.state_dir).map_err(|e| at(&e))?;
-    let store = Store::open(&config.state_dir.join("keeper.redb")).map_err(|e| at(&e))?;
-    store.is_of(id).map_err(|e| at(&e))?;
-    let incarnation = store.incarnation(unix_ms(config)).map_err(|e| at(&e))?;
-    let ids: Vec<u64> = config.keepers.iter().map(|keeper| keeper.id).collect();
-    let kept = match store.kept().map_err(|e| at(&e))? {
-        Some(kept) => kept,
-        None if config.joins => Keeper::joining(),
-        None if begins => Keeper::first(&ids),
-        None => {
-            let why = "it holds nothing: with `--begin` where the fleet is new, else with `joins = true` and a new number";
-            return Err(at(&why));
-        }
-    };
-    store.begin(&kept).map_err(|e| at(&e))?;
-    let keeper = Keeper::new(id, &kept, rand::random(), Duration::ZERO).map_err(|e| at(&e))?;
-    let (streams, datagrams) = listen(config).await?;
-    let who = Who { name: config.name.clone(), incarnation };
-    let others = config.keepers.iter().filter(|keeper| keeper.id != id);
-    let others: Vec<_> = others.map(|keeper| (keeper.name.clone(), keeper.address)).collect();
-    let peers = config.peers.iter().map(|peer| (peer.name.clone(), peer.address));
-    let seeds: Vec<_> = others.iter().cloned().chain(peers).collect();
-    let members =
-        Members::new(own(config, Role::Keeper, incarnation), &seeds, rand::random(), Duration::ZERO);
-    let (inbox, mut heard) = mpsc::channel(INBOX_MOST);
-    let from = config.listen.ip();
-    let links = Links::new(ACCEPTED_MOST, who, keys, from, others.into_iter().collect(), inbox);
-    spawn_local(links.clone().listen(streams));
-    spawn_local(links.clone().overhear(datagrams));
-    let names = config.keepers.iter().map(|keeper| (keeper.id, keeper.name.clone())).collect();
-    let version = keeper.view().version();
-    info!(keeper = id, incarnation, version = version.0, "fleet: keeping");
-    let warden = Warden::new(&config.name, config.places.clone());
-    let keeping = Keeping::new(Seat::new(keeper, members, names), warden);
-    let rollouts = Rollouts::default();
-    let mut process = Process { keeping, rollouts, store, links, began: Instant::now(), leader: 0 };
-    let mut ticks = interval(TICK);
-    // After a pause one tick is enough: it must hear before it asks for votes.
-    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut leave = pin!(leave);
-    loop {
-        tokio::select! {
-            () = &mut leave => {
-                let outputs = process.keeping.leave();
-                return process.carry_out(outputs);
-            }
-            _ = ticks.tick() => {
-                let mut outputs = process.keeping.tick(process.began.elapsed(), unix_ms(config));
-                outputs.extend(process.roll_out());
-                process.carry_out(outputs)?;
+    let start = tokio::select! {
+        start = Start::when_storage_serves(config, id, begins, &open) => start?,
+        () = &mut leave => return Ok(()),
+    };
+    let (process, heard) = Process::begin(config, id, keys, start).await?;
+    process.run(heard, leave).await
+}
+
+/// What a process begins with, all of it durable.
+struct Start {
+    store: Store,
+    kept: Kept,
+    incarnation: u64,
+    /// Its folder knew of no earlier start: the number is the clock's.
+    by_clock: bool,
+}
+
+impl Start {
+    /// Tries again while the storage fails for a time: a full disk ends no server, not even one that is started on it.
+    async fn when_storage_serves(
+        config: &FleetConfig,
+        id: u64,
+        begins: bool,
+        open: &OpenDatabase,
+    ) -> Result<Start, String> {
+        let at = |e: &dyn std::fmt::Display| format!("state_dir: {}: {e}", config.state_dir.display());
+        let mut attempts = 0;
+        loop {
+            match Start::read(config, id, begins, open.clone()) {
+                Ok(Some(start)) => return Ok(start),
+                Ok(None) => {
+                    let why = "it holds nothing: with `--begin` where the fleet is new, else with `joins = true` and a new number";
+                    return Err(at(&why));
+                }
+                Err(problem) if problem.is_transient() => {
+                    warn!(%problem, attempts, "fleet: storage fails; not started yet");
+                    sleep(retry_after(attempts)).await;
+                    attempts += 1;
+                }
+                Err(problem) => return Err(at(&problem)),
             }
-            Some(message) = heard.recv() => {
-                let mut outputs = process.heard(message);
-                while outputs.len() < AT_ONCE && let Ok(message) = heard.try_recv() {
-                    outputs.extend(process.heard(message));
+        }
+    }
+
+    /// None where it holds nothing, and should.
+    fn read(
+        config: &FleetConfig,
+        id: u64,
+        begins: bool,
+        open: OpenDatabase,
+    ) -> Result<Option<Start>, StoreError> {
+        std::fs::create_dir_all(&config.state_dir)?;
+        let store = StoreFile::claim(&config.state_dir.join("keeper.redb"), open)?.open_or_create()?;
+        store.is_of(id)?;
+        let by_clock = !store.has_started()?;
+        let incarnation = store.incarnation(unix_ms(config))?;
+        let ids: Vec<u64> = config.keepers.iter().map(|keeper| keeper.id).collect();
+        let kept = match store.kept()? {
+            Some(kept) => kept,
+            None if config.joins => Keeper::joining(),
+            None if begins => Keeper::first(&ids),
+            None => return Ok(None),
+        };
+        store.begin(&kept)?;
+        Ok(Some(Start { store, kept, incarnation, by_clock }))
+    }
+}
+
+impl<'a> Process<'a> {
+    async fn begin(
+        config: &'a FleetConfig,
+        id: u64,
+        keys: Keys,
+        start: Start,
+    ) -> Result<(Process<'a>, mpsc::Receiver<Message>), String> {
+        let Start { store, kept, incarnation, by_clock } = start;
+        let keeper = replica(config, id, &kept, Duration::ZERO)?;
+        let (streams, datagrams) = listen(config).await?;
+        let who = Who { name: config.name.clone(), incarnation };
+        let others = config.keepers.iter().filter(|keeper| keeper.id != id);
+        let others: Vec<_> = others.map(|keeper| (keeper.name.clone(), keeper.address)).collect();
+        let peers = config.peers.iter().map(|peer| (peer.name.clone(), peer.address));
+        let seeds: Vec<_> = others.iter().cloned().chain(peers).collect();
+        let own = own(config, Role::Keeper, incarnation);
+        let mut members = Members::new(own, &seeds, rand::random(), Duration::ZERO);
+        if by_clock {
+            members.counts_by_clock();
+        }
+        let (inbox, heard) = mpsc::channel(INBOX_MOST);
+        let from = config.listen.ip();
+        let links = Links::new(ACCEPTED_MOST, who, keys, from, others.into_iter().collect(), inbox);
+        spawn_local(links.clone().listen(streams));
+        spawn_local(links.clone().overhear(datagrams));
+        let names = config.keepers.iter().map(|keeper| (keeper.id, keeper.name.clone())).collect();
+        let version = keeper.view().version();
+        info!(keeper = id, incarnation, version = version.0, "fleet: keeping");
+        let warden = Warden::new(&config.name, config.places.clone());
+        let keeping = Keeping::new(Seat::new(keeper, members, names), warden);
+        let (rollouts, storage) = (Rollouts::default(), Storage::Serving(store));
+        let began = Instant::now();
+        Ok((Process { config, id, keeping, rollouts, storage, links, began, leader: 0 }, heard))
+    }
+
+    async fn run(
+        mut self,
+        mut heard: mpsc::Receiver<Message>,
+        mut leave: impl Future<Output = ()> + Unpin,
+    ) -> Result<(), String> {
+        let mut ticks = interval(TICK);
+        // After a pause one tick is enough: it must hear before it asks for votes.
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        loop {
+            tokio::select! {
+                () = &mut leave => {
+                    let outputs = self.keeping.leave();
+                    return self.carry_out(outputs);
+                }
+                _ = ticks.tick() => {
+                    self.reopen()?;
+                    let outputs = self.tick();
+                    self.carry_out(outputs)?;
                 }
-                process.carry_out(outputs)?;
+                Some(message) = heard.recv() => {
+                    let mut outputs = self.heard(message);
+                    while outputs.len() < AT_ONCE && let Ok(message) = heard.try_recv() {
+                        outputs.extend(self.heard(message));
+                    }
+                    self.carry_out(outputs)?;
+                }
+            }
+        }
+    }
+
+    fn tick(&mut self) -> Vec<Output> {
+        let (now, unix_ms) = (self.began.elapsed(), unix_ms(self.config));
+        if !self.storage.is_serving() {
+            return vec![self.keeping.seat.tick(now, unix_ms)];
+        }
+        let mut outputs = self.keeping.tick(now, unix_ms);
+        outputs.extend(self.roll_out());
+        outputs
+    }
+
+    /// Serves again from what is on disk, once it can be written again.
+    fn reopen(&mut self) -> Result<(), String> {
+        let at = |e: StoreError| format!("state_dir: {}: {e}", self.config.state_dir.display());
+        match self.storage.reopen(self.id, Instant::now()).map_err(at) {
+            Ok(None) => {}
+            Ok(Some(Reopened::Failing(problem))) => warn!(%problem, "fleet: storage still fails"),
+            Ok(Some(Reopened::Serving(kept, failed_for))) => {
+                self.rebuild(&kept)?;
+                let failed_ms = failed_for.as_millis() as u64;
+                info!(failed_ms, "fleet: storage reopened");
+            }
+            Err(problem) => {
+                error!(problem, "fleet: ending");
+                return Err(problem);
             }
         }
+        Ok(())
+    }
+
+    /// A write failed: from now on it neither votes nor acknowledges. What its replica has in memory and not on disk was said to
+    /// nobody, and is dropped with it.
+    fn step_down(&mut self, problem: &StoreError) -> Result<(), String> {
+        error!(%problem, "fleet: write failed; stepping down");
+        self.storage.fail(Instant::now());
+        self.rebuild(&Keeper::joining())
+    }
+
+    /// A replica of what is kept, as after a restart, in place of the one that there was; it stays the member that it is.
+    fn rebuild(&mut self, kept: &Kept) -> Result<(), String> {
+        self.keeping.seat.keeper = replica(self.config, self.id, kept, self.began.elapsed())?;
+        self.keeping.warden = Warden::new(&self.config.name, self.config.places.clone());
+        self.keeping.moves.clear();
+        self.rollouts = Rollouts::default();
+        Ok(())
     }
 }
 
-impl Process {
+/// The replica of what is kept.
+fn replica(config: &FleetConfig, id: u64, kept: &Kept, now: Duration) -> Result<Keeper, String> {
+    Keeper::new(id, kept, rand::random(), now)
+        .map_err(|e| format!("state_dir: {}: {e}", config.state_dir.display()))
+}
+
+/// What a server whose storage has failed answers: what it knows of itself and of members, and that it takes nothing on.
+fn refusal(said: Said) -> Option<Said> {
+    let why = || "its storage has failed: it takes nothing on".to_owned();
+    match said {
+        Said::Propose(proposal) => Some(Said::NotDecided { id: proposal.id, why: why() }),
+        Said::CommandConfig(command) => Some(Said::NotDecided { id: command.id, why: why() }),
+        Said::Change { .. } => Some(Said::NotChanging(why())),
+        _ => None,
+    }
+}
+
+impl Process<'_> {
     fn heard(&mut self, message: Message) -> Vec<Output> {
         let Message { from, said } = message;
         match said {
             Said::Describe => vec![says(from.name, Said::Described(self.described().to_json()))],
             Said::ListMembers => vec![says(from.name, Said::Described(self.listed().to_json()))],
+            said if !self.storage.is_serving() => match said {
+                Said::Members(_) => vec![self.keeping.seat.heard(self.began.elapsed(), &from, said)],
+                said => refusal(said).into_iter().map(|said| says(from.name.clone(), said)).collect(),
+            },
             Said::ListHalls => vec![says(from.name, Said::Described(self.halls().to_json()))],
             Said::Change { keeper, add } => vec![match self.change(keeper, add, &from.name) {
                 Ok(output) => output,
@@ -178,12 +333,11 @@
             error!(problem = %why, "fleet: ending");
             return Err(why.to_string());
         }
-        for output in outputs.iter().filter(|output| !output.keeper.persist.is_empty()) {
-            if let Err(problem) = self.store.keep(&output.keeper.persist) {
-                // What it has promised it may not remember: it must not go on.
-                error!(%problem, "fleet: the disk does not keep; ending");
-                return Err(problem.to_string());
-            }
+        let mut outputs = outputs;
+        if let Err(problem) = self.storage.write(&outputs) {
+            self.step_down(&problem)?;
+            // Only what it says as a member goes out: nothing of the consensus that it does not remember.
+            outputs.iter_mut().for_each(|output| output.keeper = Default::default());
         }
         for Moved { hall, from, to, why } in std::mem::take(&mut self.keeping.moves) {
             info!(hall, ?from, ?to, why, "fleet: a hall is to move");
@@ -305,7 +459,7 @@
     }
 }
 
-impl Process {
+impl Process<'_> {
     /// What sidecars have told that was not taken, by why.
     fn not_taken(&self) -> BTreeMap<String, u64> {
         let digests = self.keeping.seat.keeper.not_taken.iter().map(|(why, n)| (why.to_string(), *n));
--- a/crates/fleet-node/src/lib.rs
+++ b/crates/fleet-node/src/lib.rs
@@ -9,13 +9,14 @@
 mod kept;
 mod links;
 mod rollout;
+mod storage;
 mod store;
 mod traffic;
 mod transient;
 
 pub use follower::{Acts, Manner, Standing, follow};
-pub use keeper::keep;
+pub use keeper::{keep, keep_with};
 pub use kept::ViewFile;
-pub use store::{Store, StoreError};
+pub use store::{OpenDatabase, Store, StoreError, StoreFile, open_database};
 pub use traffic::{Flow, Lost, MessageKind, Traffic};
 pub use transient::{Uninterrupted, accept_pause};
