--- a/crates/runtime/src/discovery.rs
+++ b/crates/runtime/src/discovery.rs
@@ -1,9 +1,10 @@
 //! The endpoint list: asks discovery for it, and follows its changes.
 
 use super::events::{Call, Inbox, Input, News};
-use super::freshness::{Backoff, CALL, CONNECT, PAUSE, TORN, Watching};
+use super::freshness::{Backoff, CALL, CALLS_AT_ONCE, CONNECT, PAUSE, SECOND_CALL, TORN, Watching};
 use super::guard::Guard;
 use super::listing::Listing;
+use super::uninterrupted::Uninterrupted;
 use curlewhub_balance::{Discovery as Mode, Membership};
 use curlewhub_config::list::{List, State};
 use http_body_util::{BodyExt, Empty};
@@ -12,14 +13,19 @@
 use hyper_util::rt::TokioIo;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
+use rustix::io::Errno;
 use std::cell::{Cell, RefCell};
 use std::fmt::Display;
+use std::future::poll_fn;
+use std::io;
 use std::net::SocketAddr;
+use std::pin::Pin;
 use std::rc::Rc;
+use std::task::Poll;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::task::{JoinSet, spawn_local};
-use tokio::time::{Instant, sleep, timeout_at};
+use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 use tracing::{info, warn};
 
 /// No list, and no line of a watch, is longer than this.
@@ -31,6 +37,9 @@
     /// It was answered, and not by a list: discovery is there.
     #[error("answered {0}")]
     Refused(StatusCode),
+    /// Our own machine could not make it: nothing reached discovery.
+    #[error("not made: {0}")]
+    Local(io::Error),
     /// Anything else: nobody there, no answer in time, or what came was no list.
     #[error("{0}")]
     Failed(String),
@@ -42,6 +51,64 @@
     }
 }
 
+/// Errors of connecting that are our own machine's: it is out of ports, descriptors, memory or routes, or was
+/// interrupted.
+fn is_local(error: &io::Error) -> bool {
+    let ours = [
+        Errno::ADDRNOTAVAIL,
+        Errno::AGAIN,
+        Errno::INTR,
+        Errno::MFILE,
+        Errno::NETDOWN,
+        Errno::NETUNREACH,
+        Errno::NFILE,
+        Errno::NOBUFS,
+        Errno::NOMEM,
+    ];
+    Errno::from_io_error(error).is_some_and(|errno| ours.contains(&errno))
+}
+
+/// A watch whose first line has come, or that the next call is to open: the whole list of a new server has come.
+enum Opened {
+    Watch(Watch),
+    WholeList,
+}
+
+/// A watch that is up.
+struct Watch {
+    body: Incoming,
+    text: Vec<u8>,
+    watching: Watching,
+    _connection: Guard,
+}
+
+/// Where the watch that is to be up stands.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Standing {
+    /// None is wanted, or the last one has ended and the module asks for the next.
+    Down,
+    /// Calls are out: what they bring answers whoever asks meanwhile.
+    Opening,
+    /// Its first line has come.
+    Up,
+}
+
+/// A call that is out.
+type Out<'a> = Pin<Box<dyn Future<Output = Result<Opened, CallError>> + 'a>>;
+
+/// The first of these to end, with its number; none of the others runs once one has.
+async fn first_ended(out: &mut [Out<'_>]) -> (usize, Result<Opened, CallError>) {
+    poll_fn(|context| {
+        for (number, call) in out.iter_mut().enumerate() {
+            if let Poll::Ready(ended) = call.as_mut().poll(context) {
+                return Poll::Ready((number, ended));
+            }
+        }
+        Poll::Pending
+    })
+    .await
+}
+
 /// What the node knows of discovery.
 pub struct Discovery {
     address: Cell<SocketAddr>,
@@ -53,6 +120,11 @@
     moved: Cell<bool>,
     /// It has told us of the list since the start of the process.
     heard: Cell<bool>,
+    standing: Cell<Standing>,
+    /// When the last call for a watch began.
+    called: Cell<Instant>,
+    /// It has refused a call, and answered none since: it has too many callers.
+    crowded: Cell<bool>,
     draws: RefCell<Pcg32>,
     inbox: Inbox,
 }
@@ -61,9 +133,22 @@
     /// Discovery at this address.
     pub fn new(address: SocketAddr, mode: Mode, listing: Rc<Listing>, seed: u64, inbox: Inbox) -> Rc<Self> {
         let draws = RefCell::new(Pcg32::seed_from_u64(seed));
-        let (rev, moved, heard) = Default::default();
-        let address = Cell::new(address);
-        Rc::new(Discovery { address, mode, listing, rev, moved, heard, draws, inbox })
+        let (rev, moved, heard, crowded) = Default::default();
+        let (address, called) = (Cell::new(address), Cell::new(Instant::now()));
+        let standing = Cell::new(Standing::Down);
+        Rc::new(Discovery {
+            address,
+            mode,
+            listing,
+            rev,
+            moved,
+            heard,
+            standing,
+            called,
+            crowded,
+            draws,
+            inbox,
+        })
     }
 
     /// Whether the list is as discovery has it, and not only as it was last held before the start.
@@ -94,9 +179,14 @@
             match call {
                 None => return,
                 Some(Call::Watch(true)) if self.mode == Mode::Push => self.tell(unchanged()), // it is up already
-                Some(Call::Watch(true)) => drop(watch.replace(self.watch())),
+                Some(Call::Watch(true)) => match self.standing.get() {
+                    Standing::Down => drop(watch.replace(self.watch())),
+                    Standing::Opening => {}
+                    Standing::Up => self.tell(unchanged()),
+                },
                 Some(Call::Watch(false)) => {
                     drop(watch.take());
+                    self.standing.set(Standing::Down);
                     self.tell(unchanged());
                 }
                 Some(Call::Replace(_)) => {} // the file's list was for the start alone
@@ -106,6 +196,7 @@
                 Some(Call::Move(address)) => {
                     self.address.set(address);
                     self.moved.set(true);
+                    self.crowded.set(false);
                     // Nothing of the old server may come in any more; what was asked of it is asked anew.
                     if !std::mem::take(&mut fetches).is_empty() {
                         fetches.spawn_local(self.clone().fetch_once());
@@ -120,11 +211,13 @@
 
     fn watch(self: &Rc<Self>) -> Guard {
         let this = self.clone();
+        self.standing.set(Standing::Opening);
         let task = spawn_local(async move {
             match this.mode {
                 Mode::Push => this.keep_watch().await,
                 Mode::Ask => {
                     let error = this.follow(&mut Backoff::default()).await;
+                    this.standing.set(Standing::Down);
                     this.failed(&error);
                 }
             }
@@ -150,13 +243,15 @@
     async fn keep_watch(&self) {
         let mut backoff = Backoff::default();
         loop {
-            let begun = Instant::now();
             let error = self.follow(&mut backoff).await;
+            self.standing.set(Standing::Opening);
             self.failed(&error);
+            let took = self.called.get().elapsed();
             let draw = f64::from(self.draws.borrow_mut().next_u32()) / f64::from(u32::MAX);
             let wait = match error {
-                CallError::Refused(_) => backoff.refused(begun.elapsed(), draw),
-                CallError::Failed(_) => backoff.wait(begun.elapsed(), draw),
+                CallError::Refused(_) => backoff.refused(took, draw),
+                CallError::Local(_) => backoff.local(took, draw),
+                CallError::Failed(_) => backoff.wait(took, draw),
             };
             sleep(wait).await;
         }
@@ -164,22 +259,99 @@
 
     /// Follows changes until the watch ends; gives the reason.
     async fn follow(&self, backoff: &mut Backoff) -> CallError {
-        if self.moved.get() {
-            match self.fetch().await {
-                Ok(list) if list.all => self.take(list),
-                Ok(_) => return CallError::Failed("the list is not whole".to_owned()),
+        loop {
+            match self.open().await {
+                Ok(Opened::WholeList) => {}
+                Ok(Opened::Watch(watch)) => {
+                    self.standing.set(Standing::Up);
+                    backoff.came();
+                    return self.keep_up(watch, backoff).await;
+                }
                 Err(error) => return error,
             }
         }
+    }
+
+    /// Calls until a call has opened, or none is left out. While one brings nothing a second one begins beside it, but
+    /// not behind a refusal: discovery then has too many callers.
+    async fn open(&self) -> Result<Opened, CallError> {
+        let mut out: Vec<Out<'_>> = Vec::with_capacity(CALLS_AT_ONCE);
+        let mut refused = None;
+        out.push(self.begin());
+        loop {
+            let may_begin = out.len() < CALLS_AT_ONCE && !self.crowded.get();
+            let (number, ended) = tokio::select! {
+                biased;
+                ended = first_ended(&mut out) => ended,
+                () = sleep_until(self.called.get() + SECOND_CALL), if may_begin => {
+                    out.push(self.begin());
+                    continue;
+                }
+            };
+            drop(out.swap_remove(number));
+            match ended {
+                Ok(opened) => {
+                    self.crowded.set(false);
+                    return Ok(opened);
+                }
+                // The other call keeps its turn; what it brings decides, and the wait is that behind a refusal.
+                Err(CallError::Refused(status)) => {
+                    self.crowded.set(true);
+                    refused = Some(CallError::Refused(status));
+                }
+                Err(error) if out.is_empty() => return Err(refused.unwrap_or(error)),
+                Err(error) if refused.is_none() => self.failed(&error),
+                Err(_) => {}
+            }
+            if let Some(refused) = refused.take_if(|_| out.is_empty()) {
+                return Err(refused);
+            }
+        }
+    }
+
+    fn begin(&self) -> Out<'_> {
+        self.called.set(Instant::now());
+        Box::pin(async {
+            match self.moved.get() {
+                true => self.whole_list().await,
+                false => self.first_line().await.map(Opened::Watch),
+            }
+        })
+    }
+
+    /// The whole list of a server that is new.
+    async fn whole_list(&self) -> Result<Opened, CallError> {
+        let list = self.fetch().await?;
+        if !list.all {
+            return Err(CallError::Failed("the list is not whole".to_owned()));
+        }
+        self.take(list);
+        Ok(Opened::WholeList)
+    }
+
+    /// A watch, up to its first line's end.
+    async fn first_line(&self) -> Result<Watch, CallError> {
         let path = format!("/api/targets?watch=1&after={}", self.rev.get());
         let due = Instant::now() + CALL;
-        let (response, _connection) = match self.call(&path, due).await {
-            Ok(answered) => answered,
-            Err(error) => return error,
-        };
-        let mut body = response.into_body();
-        let (mut text, mut looked) = (Vec::new(), None);
-        let mut watching = Watching::Opening { due };
+        let (response, connection) = self.call(&path, due).await?;
+        let (mut body, mut text, mut looked) = (response.into_body(), Vec::new(), None);
+        loop {
+            let more = self.more(&mut body, &mut text, &mut looked, due).await;
+            if !more.map_err(|reason| format!("the watch {reason}"))? {
+                self.take_torn(&text);
+                return Err(CallError::Failed("the watch ended".to_owned()));
+            }
+            if self.take_lines(&mut text, true)? {
+                let watching = Watching::Opening { due }.came(Instant::now(), true, !text.is_empty());
+                return Ok(Watch { body, text, watching, _connection: connection });
+            }
+        }
+    }
+
+    /// Follows a watch that is up until it ends; gives the reason.
+    async fn keep_up(&self, watch: Watch, backoff: &mut Backoff) -> CallError {
+        let Watch { mut body, mut text, mut watching, _connection } = watch;
+        let mut looked = None;
         loop {
             match self.more(&mut body, &mut text, &mut looked, watching.due()).await {
                 Ok(true) => {}
@@ -189,8 +361,7 @@
                 }
                 Err(reason) => return CallError::Failed(format!("the watch {reason}")),
             }
-            let first = matches!(watching, Watching::Opening { .. });
-            let ended = match self.take_lines(&mut text, first) {
+            let ended = match self.take_lines(&mut text, false) {
                 Ok(ended) => ended,
                 Err(reason) => return CallError::Failed(reason),
             };
@@ -313,8 +484,10 @@
     async fn call(&self, path: &str, due: Instant) -> Result<(Response<Incoming>, Guard), CallError> {
         let up = due.min(Instant::now() + CONNECT);
         let connect = timeout_at(up, TcpStream::connect(self.address.get())).await;
-        let stream = connect.map_err(|_| "no connection in time".to_owned())?.map_err(|e| e.to_string())?;
-        let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
+        let stream = connect.map_err(|_| "no connection in time".to_owned())?.map_err(|e| {
+            if is_local(&e) { CallError::Local(e) } else { CallError::Failed(e.to_string()) }
+        })?;
+        let handshake = hyper::client::conn::http1::handshake(TokioIo::new(Uninterrupted(stream))).await;
         let (mut sender, connection) = handshake.map_err(|e| e.to_string())?;
         let task = spawn_local(connection);
         let guard = Guard::new(task.abort_handle());
@@ -347,7 +520,7 @@
         warn!(reason = %error, "discovery");
         let membership = match error {
             CallError::Refused(_) => Membership::Refused,
-            CallError::Failed(_) => Membership::Failed,
+            CallError::Failed(_) | CallError::Local(_) => Membership::Failed,
         };
         self.tell(News { membership, addresses: Vec::new() });
     }
--- a/crates/runtime/src/freshness.rs
+++ b/crates/runtime/src/freshness.rs
@@ -12,7 +12,12 @@
 /// A call that has not brought a whole list, or a watch's first line, by then has failed. Calls wait in turn for
 /// up to 3 s at the sites known, and to leave just before the turn comes gives up a place in the queue.
 pub const CALL: Duration = Duration::from_millis(3200);
-/// Of that, so much at the most for the connection: where nobody is there, nothing ever answers.
+/// A call that has brought nothing for so long may be lost in an outage that is over: a second one begins beside it,
+/// and the first keeps its turn in discovery's queue. The first that opens is taken and the other one ends.
+pub const SECOND_CALL: Duration = Duration::from_millis(2600);
+/// Calls that are out at once, at the most: a third begins when the first has ended.
+pub const CALLS_AT_ONCE: usize = 2;
+/// Of a call's time, so much at the most for the connection: where nobody is there, nothing ever answers.
 pub const CONNECT: Duration = Duration::from_secs(1);
 /// A watch brings at least an empty line every 2 s, by the protocol: one silent for this long is dead, as that of
 /// a machine cut off is, which nothing else would ever tell.
@@ -38,11 +43,13 @@
 pub const SPREAD_MOST: Duration = Duration::from_millis(150);
 
 /// The worst chains, from discovery's being there on: a wait behind a call that failed just before; a watch that
-/// falls silent behind its last line; one that trickles. Then a call that takes all its time. (A call that hangs
-/// without an answer and ends just after discovery is back leaves the next one `TOLD - CALL - SPREAD_MOST`, 2.65 s.)
+/// falls silent behind its last line; one that trickles; a call that hangs and was made just before. Then a call that
+/// takes all its time. docs/design/0018-discovery-load.md has them all.
 const _: () = assert!(WAIT_MOST.as_millis() + CALL.as_millis() < TOLD.as_millis());
 const _: () = assert!(SILENCE.as_millis() + SPREAD_MOST.as_millis() + CALL.as_millis() < TOLD.as_millis());
 const _: () = assert!(LINE.as_millis() + SPREAD_MOST.as_millis() + CALL.as_millis() < TOLD.as_millis());
+const _: () = assert!(SECOND_CALL.as_millis() + CALL.as_millis() < TOLD.as_millis());
+const _: () = assert!(CALL.as_millis() < SECOND_CALL.as_millis() * CALLS_AT_ONCE as u128);
 const _: () = assert!(CONNECT.as_millis() <= CALL.as_millis());
 
 /// How long to wait between calls that fail.
@@ -69,10 +76,21 @@
     pub fn wait(&mut self, took: Duration, draw: f64) -> Duration {
         let doubled = WAIT * (1 << self.failures.min(DOUBLES));
         self.failures = self.failures.saturating_add(1);
-        let (least, most) = JITTER;
-        let spread = least + (most - least) * draw;
-        doubled.mul_f64(spread).saturating_sub(took).max(SPREAD_MOST.mul_f64(draw))
+        spread(doubled, took, draw)
     }
+
+    /// The wait behind a call that our own machine could not make, by a draw from 0 to 1: it was no burden to
+    /// discovery, and counts as no failure of discovery's.
+    pub fn local(&self, took: Duration, draw: f64) -> Duration {
+        spread(WAIT, took, draw)
+    }
+}
+
+/// What is left of a wait with its jitter behind a call that took so long.
+fn spread(wait: Duration, took: Duration, draw: f64) -> Duration {
+    let (least, most) = JITTER;
+    let jittered = wait.mul_f64(least + (most - least) * draw);
+    jittered.saturating_sub(took).max(SPREAD_MOST.mul_f64(draw))
 }
 
 /// Where a watch stands. Each state has one deadline, and only what it waits for ends it: a byte begins a line, a
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -30,3 +30,4 @@
 pub mod static_list;
 pub mod streaming;
 pub mod timers;
+pub mod uninterrupted;
