--- a/crates/model/src/discovery_load.rs
+++ b/crates/model/src/discovery_load.rs
@@ -58,6 +58,19 @@
     pub before: u32,
     /// How long this call took.
     pub took: Duration,
+    /// It was answered, by a refusal; otherwise nothing came.
+    pub refused: bool,
+}
+
+/// How an outage shows, and what callers do about calls that bring nothing.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Outage {
+    /// A call is given up by its caller after this long where discovery is down; none where discovery refuses it at
+    /// its limit.
+    pub silent: Option<Duration>,
+    /// A caller that has waited so long for a call makes a second one beside it, unless it was refused since its last
+    /// answer; the first that is answered counts.
+    pub second_call: Option<Duration>,
 }
 
 /// The wait behind a failed call, by a draw from 0 to 1.
@@ -73,6 +86,8 @@
     Answered(Duration),
     RefusedAtOnce,
     FailedAtLimit,
+    /// Nothing comes from a discovery that is down.
+    Lost,
 }
 
 /// The queue: until when it is busy with what it has accepted.
@@ -91,7 +106,7 @@
 
     fn call(&mut self, now: Duration) -> CallEnd {
         if now < self.up_from {
-            return CallEnd::FailedAtLimit;
+            return CallEnd::Lost;
         }
         if self.busy_until.saturating_sub(now) > self.settings.queue_limit {
             return CallEnd::RefusedAtOnce;
@@ -105,52 +120,136 @@
 }
 
 /// One caller.
+#[derive(Default)]
 struct Caller {
     starts: Duration,
     failures: u32,
+    /// Calls that are out.
+    out: u32,
+    /// When the last call began.
+    called: Duration,
+    /// Refused since its last answer.
+    refused: bool,
     answered: Option<Duration>,
 }
 
+/// What happens to a caller.
+#[derive(Clone, Copy)]
+enum Step {
+    Call,
+    /// A second call is due, if nothing has come of the one that began then.
+    SecondCall(Duration),
+    Failed {
+        refused: bool,
+    },
+}
+
+/// A run: the queue, the callers, and what is to come.
+struct Run {
+    queue: CallQueue,
+    discovery: Discovery,
+    outage: Outage,
+    wait: RetryWait,
+    draws: Pcg64Mcg,
+    steps: Queue<(usize, Step)>,
+    all: Vec<Caller>,
+    calls: u64,
+    worked_in_vain: u64,
+}
+
+impl Run {
+    fn call(&mut self, now: Duration, index: usize) {
+        let is_up = now >= DOWN_BEFORE;
+        self.calls += u64::from(is_up);
+        let caller = &mut self.all[index];
+        (caller.out, caller.called) = (caller.out + 1, now);
+        if let Some(after) = self.outage.second_call {
+            self.steps.plan(now + after, (index, Step::SecondCall(now)));
+        }
+        let (took, refused) = match self.queue.call(now) {
+            CallEnd::Answered(at) => {
+                // A second call that was answered as well was worked for in vain.
+                self.worked_in_vain += u64::from(caller.answered.is_some());
+                caller.answered = Some(caller.answered.map_or(at, |other| other.min(at)));
+                return;
+            }
+            CallEnd::RefusedAtOnce => (Duration::ZERO, true),
+            CallEnd::FailedAtLimit => {
+                self.worked_in_vain += 1;
+                (self.discovery.wait_limit, true)
+            }
+            CallEnd::Lost => match self.outage.silent {
+                Some(given_up) => (given_up, false),
+                None => (self.discovery.wait_limit, true),
+            },
+        };
+        self.steps.plan(now + took, (index, Step::Failed { refused }));
+    }
+
+    fn step(&mut self, now: Duration, index: usize, step: Step) {
+        let caller = &mut self.all[index];
+        if caller.answered.is_some_and(|at| at <= now) {
+            return;
+        }
+        match step {
+            Step::Call => self.call(now, index),
+            Step::SecondCall(called) => {
+                if caller.called == called && caller.out == 1 && !caller.refused {
+                    self.call(now, index);
+                }
+            }
+            Step::Failed { refused } => {
+                caller.out -= 1;
+                caller.refused |= refused;
+                if caller.out > 0 || caller.answered.is_some() {
+                    return; // the other one is still out
+                }
+                let took = now - caller.called;
+                let failures = Failures { before: caller.failures, took, refused: caller.refused };
+                caller.failures = caller.failures.saturating_add(1);
+                let wait = (self.wait)(failures, self.draws.random());
+                self.steps.plan(now + wait, (index, Step::Call));
+            }
+        }
+    }
+}
+
 /// Plays discovery's return, with callers that wait so long behind each failure.
 pub fn recover(discovery: Discovery, callers: Callers, wait: RetryWait, seed: u64) -> Recovery {
+    recover_from(discovery, callers, Outage::default(), wait, seed)
+}
+
+/// The same after such an outage.
+pub fn recover_from(
+    discovery: Discovery,
+    callers: Callers,
+    outage: Outage,
+    wait: RetryWait,
+    seed: u64,
+) -> Recovery {
     let mut draws = Pcg64Mcg::seed_from_u64(seed);
-    let mut queue = CallQueue::new(discovery, DOWN_BEFORE);
-    let mut calls_to_come = Queue::new();
+    let mut steps = Queue::new();
     let mut all: Vec<Caller> = Vec::new();
+    let spread = outage.silent.unwrap_or(discovery.wait_limit);
     for index in 0..callers.waiting + callers.starting {
         let starts = match index < callers.waiting {
-            true => discovery.wait_limit.mul_f64(draws.random()),
+            true => spread.mul_f64(draws.random()),
             false => DOWN_BEFORE + callers.starting_within.mul_f64(draws.random()),
         };
-        calls_to_come.plan(starts, all.len());
-        all.push(Caller { starts, failures: 0, answered: None });
+        steps.plan(starts, (all.len(), Step::Call));
+        all.push(Caller { starts, ..Caller::default() });
     }
-    let (mut calls, mut worked_in_vain) = (0, 0);
-    while let Some((now, index)) = calls_to_come.next() {
+    let queue = CallQueue::new(discovery, DOWN_BEFORE);
+    let (calls, worked_in_vain) = (0, 0);
+    let mut run = Run { queue, discovery, outage, wait, draws, steps, all, calls, worked_in_vain };
+    while let Some((now, (index, step))) = run.steps.next() {
         if now > DOWN_BEFORE + RUN_END {
             break;
         }
-        let is_up = now >= DOWN_BEFORE;
-        calls += u64::from(is_up);
-        let took = match queue.call(now) {
-            CallEnd::Answered(at) => {
-                all[index].answered = Some(at);
-                continue;
-            }
-            CallEnd::RefusedAtOnce => Duration::ZERO,
-            CallEnd::FailedAtLimit => {
-                worked_in_vain += u64::from(is_up);
-                discovery.wait_limit
-            }
-        };
-        let caller = &mut all[index];
-        let failures = Failures { before: caller.failures, took };
-        let next = now + took + wait(failures, draws.random());
-        caller.failures = caller.failures.saturating_add(1);
-        calls_to_come.plan(next, index);
+        run.step(now, index, step);
     }
-    let least = Duration::from_secs_f64(all.len() as f64 / discovery.calls_per_second);
-    summary(&all, least, calls, worked_in_vain)
+    let least = Duration::from_secs_f64(run.all.len() as f64 / discovery.calls_per_second);
+    summary(&run.all, least, run.calls, run.worked_in_vain)
 }
 
 fn summary(all: &[Caller], least: Duration, calls: u64, worked_in_vain: u64) -> Recovery {
--- a/crates/model/tests/discovery_load.rs
+++ b/crates/model/tests/discovery_load.rs
@@ -1,7 +1,9 @@
 //! Discovery's return under a whole fleet, with the waits that the decision module draws.
 
 use curlewhub_balance::refused_wait;
-use curlewhub_model::discovery_load::{Callers, Discovery, Failures, Recovery, RetryWait, recover};
+use curlewhub_model::discovery_load::{
+    Callers, Discovery, Failures, Outage, Recovery, RetryWait, recover, recover_from,
+};
 use std::time::Duration;
 
 /// Fleets of these sizes, each with a discovery that would need so long to answer all once.
@@ -76,3 +78,34 @@
 fn equal_seeds_give_equal_runs() {
     assert_eq!(play(300, module_waits, 5), play(300, module_waits, 5));
 }
+
+/// Callers that waited through a silent outage, at a discovery that fails calls after 3 s; behind a call that they gave
+/// up they call again at once.
+fn play_silent(size: u32, second_call: Option<Duration>, seed: u64) -> Recovery {
+    let starting = size / 3;
+    let calls_per_second = f64::from(size + starting) / SECONDS_FOR_ALL;
+    let wait_limit = Duration::from_secs(3);
+    let discovery = Discovery { calls_per_second, wait_limit, queue_limit: wait_limit };
+    let callers = Callers { waiting: size, starting, starting_within: Duration::from_secs(6) };
+    let wait = |failures: Failures, draw: f64| match failures.refused {
+        true => refused_wait(failures.took, draw),
+        false => Duration::from_millis(150).mul_f64(draw),
+    };
+    let outage = Outage { silent: Some(Duration::from_millis(3200)), second_call };
+    recover_from(discovery, callers, outage, wait, seed)
+}
+
+#[test]
+fn second_calls_beside_lost_ones_do_not_fill_the_queue() {
+    for size in [30, 300, 900] {
+        for seed in 1..=8 {
+            let played = play_silent(size, Some(Duration::from_millis(2600)), seed);
+            assert_eq!(played.unanswered, 0, "{size}, {seed}: {played:?}");
+            let times_the_least = if size < 100 { 3.5 } else { 1.6 };
+            assert!(
+                played.nearly_all <= played.least.mul_f64(times_the_least),
+                "{size}, {seed}: {played:?}"
+            );
+        }
+    }
+}
