--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -3,6 +3,7 @@
 use crate::endpoint::Endpoint;
 use crate::fault::Fault;
 use crate::http::{Message, MessageKind, Reader};
+use crate::interrupted::{self, write_whole};
 use crate::spec::DirectorySpec;
 use crate::world::World;
 use curlewhub_config::list::{List, State, Target};
@@ -13,7 +14,6 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::task::spawn_local;
@@ -152,13 +152,9 @@
     async fn accept(self: Rc<Self>, view: Option<usize>) {
         loop {
             let listener = view.map_or(&self.listener, |view| &self.views[view].0);
-            match listener.accept().await {
-                Ok((stream, _)) => {
-                    let this = self.clone();
-                    spawn_local(async move { this.connection(stream, view).await });
-                }
-                Err(_) => sleep(Duration::from_millis(10)).await,
-            }
+            let stream = interrupted::accept(listener).await;
+            let this = self.clone();
+            spawn_local(async move { this.connection(stream, view).await });
         }
     }
 
@@ -181,19 +177,21 @@
             self.calls.set(self.calls.get() + 1);
             let stream = reader.inner();
             if !message.target.starts_with("/api/targets") {
-                stream.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await?;
+                write_whole(stream, b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await?;
             } else if !self.turn().await {
-                stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await?;
+                write_whole(stream, b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+                    .await?;
             } else if message.target.contains("watch=1") {
                 return self.watch(&message, stream, view).await;
             } else {
                 let text = self.json(self.whole(), view);
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
                 if self.cut.get() {
-                    stream.write_all(format!("{head}{}", &text[..text.len() / 2]).as_bytes()).await?;
+                    write_whole(stream, format!("{head}{}", &text[..text.len() / 2]).as_bytes()).await?;
                     return Ok(());
                 }
-                stream.write_all((head + &text).as_bytes()).await?;
+                write_whole(stream, (head + &text).as_bytes()).await?;
+                self.world.ledger(|ledger| ledger.listed(text.len()));
             }
         }
         Ok(())
@@ -241,12 +239,12 @@
     ) -> io::Result<()> {
         let query = message.target.split_once('?').map_or("", |(_, query)| query);
         let after = query.split('&').find_map(|pair| pair.strip_prefix("after=")?.parse().ok());
-        stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+        write_whole(stream, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
         let mut rev = self.rev.subscribe();
         let first = after.map_or_else(|| self.whole(), |after| self.after(after));
         rev.mark_unchanged();
         let mut told = first.rev;
-        write_line(stream, &self.json(first, view)).await?;
+        self.write_list(stream, &self.json(first, view)).await?;
         loop {
             let changed = timeout(self.spec.idle_line.0, rev.changed()).await;
             if changed.is_err() {
@@ -255,10 +253,16 @@
             }
             let changes = self.after(told);
             told = changes.rev;
-            write_line(stream, &self.json(changes, view)).await?;
+            self.write_list(stream, &self.json(changes, view)).await?;
         }
     }
 
+    async fn write_list(&self, stream: &mut TcpStream, list: &str) -> io::Result<()> {
+        write_line(stream, list).await?;
+        self.world.ledger(|ledger| ledger.listed(list.len()));
+        Ok(())
+    }
+
     /// A list as a view words it.
     fn json(&self, mut list: List, view: Option<usize>) -> String {
         if let Some((_, addresses)) = view.map(|view| &self.views[view]) {
@@ -276,5 +280,5 @@
 }
 
 async fn write_line(stream: &mut TcpStream, line: &str) -> io::Result<()> {
-    stream.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).await
+    write_whole(stream, format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).await
 }
--- a/crates/standins/src/endpoint.rs
+++ b/crates/standins/src/endpoint.rs
@@ -4,6 +4,8 @@
 mod jobs;
 
 use crate::fault::Fault;
+use crate::interrupted;
+use crate::ledger::Ledger;
 use crate::machine::{JobId, Machine};
 use crate::spec::EndpointSpec;
 use crate::world::World;
@@ -14,11 +16,11 @@
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{Notify, watch};
 use tokio::task::spawn_local;
-use tokio::time::{Instant, sleep};
+use tokio::time::Instant;
 
 /// Connections that the kernel holds until they are accepted.
 const BACKLOG: u32 = 1024;
@@ -212,13 +214,10 @@
     async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         loop {
             self.until_reachable().await;
-            match listener.accept().await {
-                Ok((stream, _)) => {
-                    let this = self.clone();
-                    spawn_local(async move { this.connection(stream).await });
-                }
-                Err(_) => sleep(Duration::from_millis(10)).await, // out of descriptors, most likely
-            }
+            let stream = interrupted::accept(listener).await;
+            self.world.ledger(Ledger::accepted);
+            let this = self.clone();
+            spawn_local(async move { this.connection(stream).await });
         }
     }
 
--- a/crates/standins/src/endpoint/connection.rs
+++ b/crates/standins/src/endpoint/connection.rs
@@ -3,6 +3,7 @@
 use super::Endpoint;
 use super::jobs::{JobKey, Submitted};
 use crate::http::{Message, MessageKind, Reader};
+use crate::interrupted::{peek, write_whole};
 use crate::ledger::Ledger;
 use crate::machine::{Happened, JobId};
 use crate::spec::ClassSpec;
@@ -11,7 +12,6 @@
 use std::future::pending;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
 /// What a sidecar may still send to an endpoint after the list has said that it drains.
@@ -65,7 +65,7 @@
                 Ok(Some(message)) => message,
                 Ok(None) => return,
                 Err(_) => {
-                    let _ = reader.inner().write_all(answer("400 Bad Request", "", "").as_bytes()).await;
+                    let _ = write_whole(reader.inner(), answer("400 Bad Request", "", "").as_bytes()).await;
                     return;
                 }
             };
@@ -73,9 +73,9 @@
             let reply = self.reply(&message, reader).await;
             self.until_reachable().await;
             let written = match reply {
-                Reply::Write(text) => reader.inner().write_all(text.as_bytes()).await,
+                Reply::Write(text) => write_whole(reader.inner(), text.as_bytes()).await,
                 Reply::Stall(text) => {
-                    let _ = reader.inner().write_all(text.as_bytes()).await;
+                    let _ = write_whole(reader.inner(), text.as_bytes()).await;
                     return self.until_caller_closes(reader).await;
                 }
                 Reply::Silence => return self.until_caller_closes(reader).await,
@@ -94,7 +94,7 @@
     /// Ends once the caller has closed its end of the connection.
     async fn until_caller_closes(&self, reader: &mut Reader<TcpStream>) {
         // Further bytes do not matter; only the end does.
-        if !matches!(reader.inner().peek(&mut [0]).await, Ok(0) | Err(_)) {
+        if !matches!(peek(reader.inner()).await, Ok(0) | Err(_)) {
             pending::<()>().await;
         }
     }
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -1,7 +1,8 @@
 //! As much of HTTP/1.1 as a peer needs that must be able to get it wrong.
 
+use crate::interrupted::read_some;
 use std::io;
-use tokio::io::{AsyncRead, AsyncReadExt};
+use tokio::io::AsyncRead;
 
 /// The most headers of one message.
 const MAX_HEADERS: usize = 64;
@@ -102,7 +103,7 @@
     }
 
     async fn more(&mut self) -> io::Result<bool> {
-        Ok(self.from.read_buf(&mut self.buffer).await? > 0)
+        Ok(read_some(&mut self.from, &mut self.buffer).await? > 0)
     }
 
     /// The next message; none where the connection ends between two.
--- a/crates/standins/src/ledger.rs
+++ b/crates/standins/src/ledger.rs
@@ -43,6 +43,10 @@
     pub ran_twice: u64,
     /// Requests that came after the list had said for over 250 ms that their endpoint drains.
     pub sent_to_draining: u64,
+    /// Connections that endpoints accepted.
+    pub connections: u64,
+    /// Bytes of lists that discovery wrote, whole ones and changes.
+    pub list_bytes: u64,
     /// Keys in the ledger.
     pub keys: u64,
 }
@@ -63,6 +67,16 @@
 const MAX_KEYS: usize = 100_000;
 
 impl Ledger {
+    /// An endpoint has accepted a connection.
+    pub fn accepted(&mut self) {
+        self.totals.connections += 1;
+    }
+
+    /// Discovery has written so much of a list.
+    pub fn listed(&mut self, bytes: usize) {
+        self.totals.list_bytes += bytes as u64;
+    }
+
     /// A request has come whole.
     pub fn came(&mut self, to_draining: bool) {
         self.totals.came += 1;
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod fault;
 pub mod fleet;
 pub mod http;
+pub mod interrupted;
 pub mod ledger;
 pub mod machine;
 pub mod program;
