--- a/crates/lab/src/delay/mod.rs
+++ b/crates/lab/src/delay/mod.rs
@@ -4,7 +4,7 @@
 mod client;
 mod peers;
 mod report;
-mod sidecar;
+pub(crate) mod sidecar;
 mod summary;
 mod wire;
 
--- a/crates/lab/src/delay/sidecar.rs
+++ b/crates/lab/src/delay/sidecar.rs
@@ -64,13 +64,28 @@
         folder: &Path,
         number: usize,
         endpoints: &[SocketAddr],
+    ) -> Result<Self, String> {
+        Sidecar::start_with(program, folder, number, |listen, state| {
+            configuration(listen, state, endpoints)
+        })
+    }
+
+    /// Starts one with the file that this makes of its address and its folder, and waits until it is ready.
+    ///
+    /// # Errors
+    /// As [`Sidecar::start`].
+    pub fn start_with(
+        program: &Program,
+        folder: &Path,
+        number: usize,
+        configuration: impl FnOnce(SocketAddr, &Path) -> String,
     ) -> Result<Self, String> {
         let address = free_address().map_err(|e| format!("no free port: {e}"))?;
         let config = folder.join(format!("sidecar-{number}.toml"));
         let log = folder.join(format!("sidecar-{number}.log"));
         let state = folder.join(format!("state-{number}"));
         std::fs::create_dir_all(&state).map_err(|e| format!("{}: {e}", state.display()))?;
-        std::fs::write(&config, configuration(address, &state, endpoints))
+        std::fs::write(&config, configuration(address, &state))
             .map_err(|e| format!("{}: {e}", config.display()))?;
         let output = File::create(&log).map_err(|e| format!("{}: {e}", log.display()))?;
         let mut command = program.command();
@@ -84,6 +99,11 @@
         Err(format!("a sidecar is not ready within {READY_WITHIN:?}: {said}"))
     }
 
+    /// Its process.
+    pub fn id(&self) -> u32 {
+        self.child.id()
+    }
+
     /// What it has used so far; none where the kernel does not say.
     pub fn scheduled(&self) -> Option<Scheduled> {
         let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.child.id())).ok()?;
--- a/crates/lab/src/discovery_load.rs
+++ b/crates/lab/src/discovery_load.rs
@@ -3,7 +3,10 @@
 
 use comfy_table::{Table, presets};
 use curlewhub_balance::refused_wait;
-use curlewhub_model::discovery_load::{Callers, Discovery, Failures, Recovery, RetryWait, recover};
+use curlewhub_model::discovery_load::{
+    Callers, Discovery, Failures, Outage, Recovery, RetryWait, recover_from,
+};
+use curlewhub_runtime::freshness::{CALL, SECOND_CALL, SPREAD_MOST};
 use std::time::Duration;
 
 /// What is played.
@@ -21,6 +24,9 @@
     /// Seconds of work in its queue from which on it refuses calls at once.
     #[arg(long, default_value_t = 2.0, value_parser = positive_seconds)]
     queue_limit: f64,
+    /// While it is down discovery says nothing at all, and callers give up; otherwise it refuses calls at its limit.
+    #[arg(long)]
+    silent_outage: bool,
     /// Seeds of each cell; the table has the mean.
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=1000))]
     seeds: u64,
@@ -32,14 +38,22 @@
 const STARTING_WITHIN: Duration = Duration::from_secs(6);
 
 /// The schemes that are set side by side.
-const SCHEMES: [(&str, RetryWait); 5] = [
-    ("0.25 s doubled twice, from the call's start (before)", doubled_twice),
-    ("as before, doubled to 4 s", doubled_to_four_seconds),
-    ("0.65 to 1.35 s", about_one_second),
-    ("1.3 to 2.7 s", wide_two_seconds),
-    ("3.6 to 4.8 s behind a refusal, from the call's start (built)", by_refusal),
+const SCHEMES: [(&str, RetryWait, Calls); 6] = [
+    ("0.25 s doubled twice, from the call's start (before)", doubled_twice, Calls::OneAtATime),
+    ("as before, doubled to 4 s", doubled_to_four_seconds, Calls::OneAtATime),
+    ("0.65 to 1.35 s", about_one_second, Calls::OneAtATime),
+    ("1.3 to 2.7 s", wide_two_seconds, Calls::OneAtATime),
+    ("3.6 to 4.8 s behind a refusal, from the call's start", by_refusal, Calls::OneAtATime),
+    ("the same, and a second call beside one that brings nothing (built)", by_refusal, Calls::SecondBeside),
 ];
 
+/// How many calls of one caller are out.
+#[derive(Clone, Copy, PartialEq)]
+enum Calls {
+    OneAtATime,
+    SecondBeside,
+}
+
 /// Seconds over which a queue can be played.
 fn positive_seconds(text: &str) -> Result<f64, String> {
     match text.parse::<f64>() {
@@ -57,7 +71,11 @@
 }
 
 fn by_refusal(failures: Failures, draw: f64) -> Duration {
-    refused_wait(failures.took, draw)
+    match failures.refused {
+        true => refused_wait(failures.took, draw),
+        // All calls that fail otherwise are given up here, after they took all of their time.
+        false => SPREAD_MOST.mul_f64(draw),
+    }
 }
 
 fn doubled_to_four_seconds(failures: Failures, draw: f64) -> Duration {
@@ -89,9 +107,13 @@
     ]);
     for &size in &settings.sizes {
         for &seconds in &settings.seconds_for_all {
-            for (name, wait) in SCHEMES {
-                let played: Vec<Recovery> =
-                    (1..=settings.seeds).map(|seed| play(settings, size, seconds, wait, seed)).collect();
+            for (name, wait, calls) in SCHEMES {
+                let outage = Outage {
+                    silent: settings.silent_outage.then_some(CALL),
+                    second_call: (calls == Calls::SecondBeside).then_some(SECOND_CALL),
+                };
+                let one = |seed| play(settings, size, seconds, (wait, outage), seed);
+                let played: Vec<Recovery> = (1..=settings.seeds).map(one).collect();
                 table.add_row(row(size, seconds, name, &played));
             }
         }
@@ -99,7 +121,13 @@
     table.to_string()
 }
 
-fn play(settings: &DiscoveryLoad, size: u32, seconds: f64, wait: RetryWait, seed: u64) -> Recovery {
+fn play(
+    settings: &DiscoveryLoad,
+    size: u32,
+    seconds: f64,
+    (wait, outage): (RetryWait, Outage),
+    seed: u64,
+) -> Recovery {
     let starting = size / STARTING;
     let discovery = Discovery {
         calls_per_second: f64::from(size + starting) / seconds,
@@ -107,7 +135,7 @@
         queue_limit: Duration::from_secs_f64(settings.queue_limit),
     };
     let callers = Callers { waiting: size, starting, starting_within: STARTING_WITHIN };
-    recover(discovery, callers, wait, seed)
+    recover_from(discovery, callers, outage, wait, seed)
 }
 
 fn row(size: u32, least: f64, scheme: &str, played: &[Recovery]) -> Vec<String> {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -9,6 +9,7 @@
 use curlewhub_lab::fleet_scale;
 use curlewhub_lab::load::{self, Arrivals, Look, Mix, Plan};
 use curlewhub_lab::paper;
+use curlewhub_lab::resource_growth::ResourceGrowth;
 use curlewhub_lab::rig::{self, Ended, RigCommand};
 use curlewhub_lab::scale_run;
 use curlewhub_lab::sim;
@@ -195,6 +196,14 @@
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
     },
+    /// Measure what one sidecar needs in the usual fleet and in one sixteen times as large, beside the bounds.
+    ResourceGrowth {
+        #[command(flatten)]
+        growth: ResourceGrowth,
+        /// Write all figures there as JSON.
+        #[arg(long, value_name = "FILE")]
+        json: Option<PathBuf>,
+    },
     /// Many processes on one rig, with faults between them, and one verdict.
     #[command(subcommand)]
     Rig(RigCommand),
@@ -346,6 +355,7 @@
             println!("{}", discovery_load::discovery_load(&settings));
             ExitCode::SUCCESS
         }
+        Command::ResourceGrowth { growth, json } => block_on(measure_growth(growth, json)),
         Command::Rig(command) => block_on(async { ended(rig::rig(command).await) }),
         Command::Mix => match toml::to_string(&Mix::default()) {
             Ok(text) => {
@@ -406,6 +416,26 @@
     }
 }
 
+async fn measure_growth(growth: ResourceGrowth, json: Option<PathBuf>) -> ExitCode {
+    let problems = growth.problems();
+    if !problems.is_empty() {
+        return wrong(&problems.join("; "));
+    }
+    let measured = match std::env::current_exe() {
+        Ok(own) => growth.measure(&own).await,
+        Err(e) => Err(e.to_string()),
+    };
+    let written = measured.and_then(|report| {
+        println!("{}", report.table());
+        write_json(json, &report).map(|()| report)
+    });
+    match written {
+        Ok(report) if report.held => ExitCode::SUCCESS,
+        Ok(_) => failed("a bound did not hold"),
+        Err(problem) => failed(&problem),
+    }
+}
+
 /// A time over 0 and up to a day.
 fn span(seconds: f64) -> Option<Duration> {
     Duration::try_from_secs_f64(seconds)
