--- a/crates/model/tests/discovery_load.rs
+++ b/crates/model/tests/discovery_load.rs
@@ -99,7 +99,7 @@
 fn second_calls_beside_lost_ones_do_not_fill_the_queue() {
     for size in [30, 300, 900] {
         for seed in 1..=8 {
-            let played = play_silent(size, Some(Duration::from_millis(2600)), seed);
+            let played = play_silent(size, Some(Duration::from_millis(2750)), seed);
             assert_eq!(played.unanswered, 0, "{size}, {seed}: {played:?}");
             let times_the_least = if size < 100 { 3.5 } else { 1.6 };
             assert!(
--- a/crates/runtime/src/freshness.rs
+++ b/crates/runtime/src/freshness.rs
@@ -14,7 +14,7 @@
 pub const CALL: Duration = Duration::from_millis(3200);
 /// A call that has brought nothing for so long may be lost in an outage that is over: a second one begins beside it,
 /// and the first keeps its turn in discovery's queue. The first that opens is taken and the other one ends.
-pub const SECOND_CALL: Duration = Duration::from_millis(2600);
+pub const SECOND_CALL: Duration = Duration::from_millis(2750);
 /// Calls that are out at once, at the most: a third begins when the first has ended.
 pub const CALLS_AT_ONCE: usize = 2;
 /// Of a call's time, so much at the most for the connection: where nobody is there, nothing ever answers.
