--- a/crates/balance/src/balance.rs
+++ b/crates/balance/src/balance.rs
@@ -50,6 +50,11 @@
 /// Seconds in which the value of a refused request fades to a third.
 const MISSED_SECONDS: f64 = 2.0;
 
+/// Faults of this machine pass within moments, or not soon. After the first of a request another endpoint is
+/// tried at once, which may have a connection open; after each further one it waits for so long, so that it
+/// uses up its attempts neither in one instant nor on the processor.
+const LOCAL_FAULT_WAIT: Duration = Duration::from_millis(100);
+
 /// What an attempt is known to have done.
 #[derive(Clone, Copy, PartialEq)]
 enum Fate {
@@ -87,10 +92,8 @@
     coming: bool,
     /// Part of its body is gone: it can't be sent again.
     once: bool,
-    /// Attempts that this machine could open no connection for.
-    local_faults: u32,
-    /// After such a fault no attempt begins before this.
-    not_before: Duration,
+    /// After a fault of this machine no attempt begins before this.
+    not_before: Option<Duration>,
 }
 
 struct Endpoint {
@@ -189,6 +192,15 @@
         self.finished || self.streaming
     }
 
+    /// This machine could open no connection for it.
+    fn note_local_fault(&mut self, now: Duration) {
+        self.not_before = Some(self.not_before.map_or(now, |_| now + LOCAL_FAULT_WAIT));
+    }
+
+    fn may_begin(&self, now: Duration) -> bool {
+        self.not_before.is_none_or(|at| now >= at)
+    }
+
     fn none_out(&self) -> bool {
         self.attempts.iter().all(|a| a.fate != Fate::Out)
     }
--- a/crates/balance/src/balance/attempts.rs
+++ b/crates/balance/src/balance/attempts.rs
@@ -14,10 +14,6 @@
 const REPEAT_LEAST: f64 = 0.1;
 /// Held requests are looked at again this often, besides whenever a call ends.
 const HOLD_RECHECK: Duration = Duration::from_millis(20);
-/// Faults of this machine pass within moments, or not soon. After the first of a request another endpoint is
-/// tried at once, which may have a connection open; after each further one it waits for so long, so that it
-/// uses up its attempts neither in one instant nor on the processor.
-const LOCAL_FAULT_WAIT: Duration = Duration::from_millis(100);
 /// Part of the objective, less the way back, after which what is worth nothing late holds servers in vain.
 const AIM_PART: f64 = 0.98;
 /// A tenant is over its share beyond this multiple of what the median tenant uses of its own.
@@ -50,8 +46,7 @@
             streaming: false,
             coming: request.body_coming,
             once: false,
-            local_faults: 0,
-            not_before: now,
+            not_before: None,
         };
         self.requests.insert(id, pending);
         self.set_timer(time_left, Timer::Deadline(id), out);
@@ -105,8 +100,7 @@
             return self.give_up(id, out);
         }
         let (kind, arrived) = (Kind::new(pending.class, pending.part), pending.arrived);
-        let waits = now < pending.not_before;
-        let Some(i) = (!waits).then(|| self.pick(now, id)).flatten() else {
+        let Some(i) = pending.may_begin(now).then(|| self.pick(now, id)).flatten() else {
             self.held.put(id, kind, arrived);
             return self.set_recheck(out);
         };
@@ -214,9 +208,7 @@
         attempt.fate = if ended.outcome.never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
         let (class, coming) = (pending.class, pending.coming);
         if ended.outcome == Outcome::LocalFault {
-            pending.local_faults += 1;
-            let wait = if pending.local_faults == 1 { Duration::ZERO } else { LOCAL_FAULT_WAIT };
-            pending.not_before = now + wait;
+            pending.note_local_fault(now);
         }
         if ended.outcome == Outcome::Ok && idle >= self.reaped_after {
             self.stale -= STALE_REFUTED;
@@ -237,8 +229,7 @@
         let idle = self.requests.get(&id).is_some_and(|p| !p.settled() && p.none_out());
         // What was withdrawn before its first byte is chosen anew, and no retry; nor does a fault of this
         // machine put any load on an endpoint.
-        let free = matches!(ended.outcome, Outcome::Moot | Outcome::LocalFault);
-        let cost = f64::from(u8::from(!free));
+        let cost = if matches!(ended.outcome, Outcome::Moot | Outcome::LocalFault) { 0.0 } else { 1.0 };
         if idle && self.retry_tokens >= cost && self.may_repeat(now, id) {
             self.retry_tokens -= cost;
             self.advance(now, id, out);
--- a/crates/balance/src/balance/learning.rs
+++ b/crates/balance/src/balance/learning.rs
@@ -59,10 +59,14 @@
 
     /// Lets an outcome speak for or against its endpoint.
     pub(super) fn learn(&mut self, now: Duration, class: usize, coming: bool, ended: &AttemptEnded) {
-        let Some(&i) = self.index.get(&ended.endpoint) else { return };
-        if ended.outcome == Outcome::LocalFault {
-            return self.take_back(i, coming);
+        match self.index.get(&ended.endpoint) {
+            Some(&i) if ended.outcome == Outcome::LocalFault => self.take_back(i, coming),
+            Some(&i) => self.learn_of(now, i, class, coming, ended),
+            None => {}
         }
+    }
+
+    fn learn_of(&mut self, now: Duration, i: usize, class: usize, coming: bool, ended: &AttemptEnded) {
         let (elapsed, silent) = (ended.elapsed.as_secs_f64(), self.silent(now));
         let slow = elapsed > self.late_after(class);
         let late = match ended.outcome {
--- a/crates/runtime/tests/connect.rs
+++ b/crates/runtime/tests/connect.rs
@@ -66,10 +66,14 @@
 #[test]
 fn one_that_is_reached_again_or_left_begins_anew() {
     let mut routes = Routes::default();
-    (0..5).for_each(|_| drop(routes.is_local(seconds(1), endpoint(0), LISTED)));
+    for _ in 0..5 {
+        routes.is_local(seconds(1), endpoint(0), LISTED);
+    }
     routes.connects(seconds(2), endpoint(0));
     assert!(routes.is_local(seconds(3), endpoint(0), LISTED));
-    (0..5).for_each(|_| drop(routes.is_local(seconds(3), endpoint(0), LISTED)));
+    for _ in 0..5 {
+        routes.is_local(seconds(3), endpoint(0), LISTED);
+    }
     routes.forget(endpoint(0));
     assert!(routes.is_local(seconds(4), endpoint(0), LISTED));
 }
