--- a/crates/lab/tests/rig.rs
+++ b/crates/lab/tests/rig.rs
@@ -58,6 +58,8 @@
             "ci/die-and-roll.toml",
             "ci/pause-and-drain.toml",
             "ci/keepers.toml",
+            "ci/system-calls.toml",
+            "ci/disk-and-clock.toml",
             "replaced.toml",
         ] {
             scope.spawn(move || holds(name));
--- a/crates/rig/src/act.rs
+++ b/crates/rig/src/act.rs
@@ -1,7 +1,7 @@
 //! How each kind of fault is brought about and ended.
 
 use crate::fault::{FaultSpec, Kind, StateIs};
-use crate::history::What;
+use crate::history::{Step, What, unix_us};
 use crate::plan::Role;
 use crate::process::{Process, call};
 use crate::run::{How, Rig};
@@ -20,6 +20,10 @@
 const WRITE_MOST: Duration = Duration::from_secs(8);
 /// How often a state folder is looked at for a write: a write of some kilobytes takes longer than this now and then.
 const WRITE_LOOK: Duration = Duration::from_micros(500);
+/// A call that is to be struck comes within this, also on a slow machine.
+const STRIKE_MOST: Duration = Duration::from_secs(8);
+/// Ends of processes are looked for more often than this.
+const END_SEEN_WITHIN: Duration = Duration::from_millis(40);
 
 impl Rig {
     /// Lets a fault begin, for the time given; one that flaps comes here each time.
@@ -88,6 +92,12 @@
             }
             Kind::Roll => self.roll(&fault, &struck).await,
             Kind::StateFull => self.each(&struck, |process| process.limit(true)),
+            Kind::Disk if fault.bytes.is_some() => self.torn(n, &struck).await,
+            Kind::SystemCall | Kind::ShortIo | Kind::Disk => self.inject(n, &struck, true),
+            Kind::ClockStep => {
+                self.step_clocks(&fault, &struck);
+                self.inject(n, &struck, true)
+            }
             Kind::StateUnwritable => self.each(&struck, |process| {
                 std::fs::rename(&process.state, away(&process.state))?;
                 std::fs::write(&process.state, "no folder")
@@ -124,6 +134,13 @@
             }
             Kind::Pause => self.all_done(&struck, Signal::CONT, "goes on", false),
             Kind::Kill | Kind::KillWriting | Kind::End => self.again(&fault, &struck).await,
+            Kind::Disk if fault.bytes.is_some() => self.again(&fault, &struck).await,
+            Kind::SystemCall | Kind::ShortIo | Kind::Disk => self.end_injection(n, &struck).await,
+            Kind::ClockStep => {
+                let ended = self.end_injection(n, &struck).await;
+                self.step_clocks_back(&struck);
+                ended
+            }
             Kind::StateFull => self.each(&struck, |process| process.limit(false)),
             Kind::StateUnwritable => self.each(&struck, |process| {
                 std::fs::remove_file(&process.state)?;
@@ -334,6 +351,76 @@
         }
     }
 
+    /// Switches a fault in the system calls of processes.
+    fn inject(&self, n: usize, struck: &[usize], on: bool) -> Result<(), String> {
+        struck.iter().try_for_each(|member| self.switch(n, *member, on))
+    }
+
+    fn switch(&self, n: usize, member: usize, on: bool) -> Result<(), String> {
+        let process = self.process(member);
+        let injected = process.injected.get().ok_or_else(|| format!("{}: no schedule", process.name))?;
+        injected.switch(n, on).map_err(|e| format!("{}: {e}", process.name))
+    }
+
+    /// Switches it off. On a slow machine it goes on until it has struck a call: one that has struck none at all has not
+    /// happened.
+    async fn end_injection(&self, n: usize, struck: &[usize]) -> Result<(), String> {
+        let calls = || {
+            let all = struck.iter().filter_map(|member| self.process(*member).injected.get());
+            all.map(|injected| injected.struck(n)).sum::<u64>()
+        };
+        let began = Instant::now();
+        while calls() == 0 && began.elapsed() < STRIKE_MOST {
+            sleep(END_SEEN_WITHIN).await;
+        }
+        self.inject(n, struck, false)?;
+        if calls() > 0 { Ok(()) } else { Err("no call was struck".to_owned()) }
+    }
+
+    /// Lets the next write of each to its state be torn by its end.
+    async fn torn(&self, n: usize, struck: &[usize]) -> Result<(), String> {
+        for member in struck {
+            self.hold_down(*member);
+            self.process(*member).expect_end();
+            self.switch(n, *member, true)?;
+        }
+        let torn = join_all(struck.iter().map(|member| self.one_torn(n, *member))).await;
+        torn.into_iter().collect()
+    }
+
+    async fn one_torn(&self, n: usize, member: usize) -> Result<(), String> {
+        let process = self.process(member);
+        let torn = process.gone(None, WRITE_MOST).await;
+        // Its end is seen a little later than it came.
+        let at = unix_us() - END_SEEN_WITHIN.as_micros() as i64;
+        self.note_at(at, &process.name, process.incarnations.get(), What::Done { done: "torn" });
+        process.signal(None, Signal::KILL, true);
+        self.switch(n, member, false)?;
+        if self.plan.members[member].role != Role::Sidecar {
+            self.dependants(member, true).await?;
+        }
+        if torn { Ok(()) } else { Err(format!("no file was written by {}", process.name)) }
+    }
+
+    /// Notes by how much the stamps of processes are off from now on.
+    fn step_clocks(&self, fault: &FaultSpec, struck: &[usize]) {
+        let (from, by) = (unix_us(), crate::injection::clock_offset_ms(fault) * 1000);
+        let mut steps = self.steps.borrow_mut();
+        for member in struck {
+            let process = self.process(*member).name.clone();
+            steps.entry(process).or_default().push(Step { from, to: i64::MAX, by });
+        }
+    }
+
+    fn step_clocks_back(&self, struck: &[usize]) {
+        let now = unix_us();
+        let mut steps = self.steps.borrow_mut();
+        for member in struck {
+            let of = steps.get_mut(&self.process(*member).name);
+            of.into_iter().flatten().for_each(|step| step.to = step.to.min(now));
+        }
+    }
+
     /// Replaces sidecars one after another.
     async fn roll(&self, fault: &FaultSpec, struck: &[usize]) -> Result<(), String> {
         let mut problems = Vec::new();
--- a/crates/rig/src/campaign.rs
+++ b/crates/rig/src/campaign.rs
@@ -6,6 +6,7 @@
 use crate::spec::{DrawSpec, RigSpec};
 use comfy_table::{Table, presets};
 use curlewhub_config::units::{Size, Span};
+use curlewhub_fault_schedule::{Call, Errno};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -21,6 +22,9 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
+/// Calls that any process must make again where a signal has interrupted them.
+const INTERRUPTIBLE: [Call; 4] = [Call::Recv, Call::Send, Call::Accept, Call::EpollWait];
+
 /// How often runs are looked at.
 const LOOK: Duration = Duration::from_millis(50);
 
@@ -311,7 +315,7 @@
             let groups = spec.sidecars.iter().map(|group| (&group.name, Role::Sidecar));
             let others = spec.processes.iter().filter(|group| group.ready.is_some());
             // Another program may rightly end where its disk fails it: only what a sidecar must bear is drawn for all.
-            let bears = !matches!(what, Kind::StateFull | Kind::StateUnwritable);
+            let bears = !matches!(what, Kind::StateFull | Kind::StateUnwritable | Kind::Disk);
             let others = others.filter(|_| bears).map(|group| (&group.name, Role::Other));
             let groups: Vec<_> = groups.chain(others).collect();
             let Some((group, role)) = groups.choose(draws) else { return fault };
@@ -339,6 +343,17 @@
         }
         Kind::Slow => fault.factor = Some(f64::from(draws.random_range(2_u8..12))),
         Kind::Reset | Kind::Spoil | Kind::DiscoveryShort => fault.share = part(draws),
+        Kind::SystemCall => {
+            let drawn = INTERRUPTIBLE.choose(draws).map_or(Call::Recv, |call| *call);
+            (fault.calls, fault.errno) = (vec![drawn], Some(Errno::Eintr));
+            fault.nth = Some(draws.random_range(2..30));
+        }
+        Kind::ShortIo => fault.bytes = Some(draws.random_range(1..200)),
+        Kind::Disk => fault.errno = [Errno::Enospc, Errno::Eio].choose(draws).copied(),
+        Kind::ClockStep => {
+            let by = Some(Span(Duration::from_secs(draws.random_range(1..4000))));
+            (fault.ahead, fault.behind) = if draws.random() { (by, None) } else { (None, by) };
+        }
         Kind::Flap => fault.every = Some(Span(Duration::from_millis(draws.random_range(500..3000)))),
         Kind::Restart | Kind::Kill if forgets => {
             fault.state =
--- a/crates/rig/src/fault.rs
+++ b/crates/rig/src/fault.rs
@@ -2,8 +2,10 @@
 
 use crate::spec::{Problems, RigSpec};
 use curlewhub_config::units::{Size, Span};
+use curlewhub_fault_schedule::{Call, Errno};
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
+use std::time::Duration;
 
 /// A kind of fault.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -59,6 +61,24 @@
     StateFull,
     /// The processes' state folder can't be written to.
     StateUnwritable,
+    /// System calls of the processes on sockets fail.
+    SystemCall,
+    /// System calls of the processes carry fewer bytes than were asked for.
+    ShortIo,
+    /// System calls of the processes on files of their state fail, or with `bytes` one write is torn by a kill.
+    Disk,
+    /// The processes' wall clock is ahead or behind; their monotonic clock is not.
+    ClockStep,
+}
+
+/// Connections, by who made them.
+#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "lowercase")]
+pub enum Connections {
+    /// Those that the process has accepted.
+    Accepted,
+    /// Those that it has made.
+    Made,
 }
 
 /// What a restarted process finds of its state.
@@ -156,8 +176,32 @@
     /// Laid over the configuration of restarted sidecars.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub set: Option<toml::Table>,
+    /// The system calls that are struck.
+    #[serde(default, skip_serializing_if = "Vec::is_empty")]
+    pub calls: Vec<Call>,
+    /// The error that they fail with.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    pub errno: Option<Errno>,
+    /// Each n-th of them is struck.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    pub nth: Option<u64>,
+    /// No more of them than this are struck in each process.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    pub count: Option<u64>,
+    /// Only those on such connections are struck.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    pub connections: Option<Connections>,
+    /// The wall clock is so much ahead ...
+    #[serde(skip_serializing_if = "Option::is_none")]
+    pub ahead: Option<Span>,
+    /// ... or behind.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    pub behind: Option<Span>,
 }
 
+/// The smallest and the largest step of a clock: a smaller one can't be told from the stamps of a log out of order.
+const CLOCK_STEP: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(24 * 3600));
+
 /// What a kind's `on` may name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strikes {
@@ -192,6 +236,7 @@
             Kind::Roll => Strikes::Sidecars,
             Kind::Kill | Kind::KillWriting | Kind::End | Kind::Pause | Kind::Restart => Strikes::Processes,
             Kind::StateFull | Kind::StateUnwritable => Strikes::Processes,
+            Kind::SystemCall | Kind::ShortIo | Kind::Disk | Kind::ClockStep => Strikes::Processes,
         }
     }
 
@@ -218,6 +263,16 @@
             Kind::Pause | Kind::StateFull | Kind::StateUnwritable => Fields(&["on"], &["part"]),
             Kind::Restart => Fields(&["on"], RESTART),
             Kind::Roll => Fields(&["on"], &["part", "apart", "rounds", "program", "set"]),
+            Kind::SystemCall => {
+                Fields(&["on", "for", "calls", "errno"], &["part", "nth", "share", "count", "connections"])
+            }
+            Kind::ShortIo => {
+                Fields(&["on", "for", "bytes"], &["part", "calls", "nth", "share", "count", "connections"])
+            }
+            Kind::Disk => {
+                Fields(&["on", "for"], &["part", "calls", "errno", "bytes", "nth", "share", "count"])
+            }
+            Kind::ClockStep => Fields(&["on", "for"], &["part", "ahead", "behind"]),
         }
     }
 }
@@ -229,6 +284,7 @@
         let (one_way, reset, part, delay, jitter, loss, duplicate) = Default::default();
         let (reorder, rate, bytes, factor, share, every, of) = Default::default();
         let (state, starts, apart, rounds, program, set) = Default::default();
+        let (calls, errno, nth, count, connections, ahead, behind) = Default::default();
         FaultSpec {
             at,
             lasts,
@@ -256,6 +312,13 @@
             rounds,
             program,
             set,
+            calls,
+            errno,
+            nth,
+            count,
+            connections,
+            ahead,
+            behind,
         }
     }
 
@@ -291,6 +354,13 @@
             ("rounds", self.rounds.is_some()),
             ("program", self.program.is_some()),
             ("set", self.set.is_some()),
+            ("calls", !self.calls.is_empty()),
+            ("errno", self.errno.is_some()),
+            ("nth", self.nth.is_some()),
+            ("count", self.count.is_some()),
+            ("connections", self.connections.is_some()),
+            ("ahead", self.ahead.is_some()),
+            ("behind", self.behind.is_some()),
         ];
         all.into_iter().filter(|(_, given)| *given).map(|(field, _)| field).collect()
     }
@@ -324,6 +394,7 @@
         p.wants(self.every.is_none_or(|every| every.0.as_millis() >= 100), at("every"), "100ms or more");
         p.wants(self.rounds.is_none_or(|n| (1..=1000).contains(&n)), at("rounds"), "1 to 1000");
         p.wants(self.rate.is_none_or(|rate| rate.0 > 0), at("rate"), "over 0");
+        self.injection_problems(n, p);
         let flaps = self.of.is_none_or(|of| matches!(of, Kind::Silent | Kind::Die));
         p.wants(flaps, at("of"), "silent or die");
         let there = self.program.as_ref().is_none_or(|path| path.is_file());
@@ -343,6 +414,42 @@
     }
 }
 
+impl FaultSpec {
+    /// All that makes no sense of one that is brought about in a process's own system calls.
+    fn injection_problems(&self, n: usize, p: &mut Problems) {
+        let at = |field: &str| format!("faults[{n}].{field}");
+        p.wants(self.nth.is_none() || self.share.is_none(), at("nth"), "this, or `share`");
+        p.wants(self.count.is_none_or(|count| count > 0), at("count"), "1 or more");
+        match self.what {
+            Kind::SystemCall | Kind::ShortIo => {
+                let on_sockets = self.calls.iter().all(|call| !call.is_on_files());
+                p.wants(on_sockets, at("calls"), "calls on sockets: `disk` strikes those on files");
+            }
+            Kind::Disk => {
+                let one = self.errno.is_some() != self.bytes.is_some();
+                p.wants(one, at("errno"), "this, or `bytes` for a torn write");
+                let on_files = self.calls.iter().all(|call| call.is_on_files());
+                p.wants(on_files, at("calls"), "calls on files: `system_call` strikes those on sockets");
+            }
+            Kind::ClockStep => {
+                let one = self.ahead.is_some() != self.behind.is_some();
+                p.wants(one, at("ahead"), "this, or `behind`");
+                let by = self.ahead.or(self.behind).unwrap_or(Span(CLOCK_STEP.0));
+                p.wants((CLOCK_STEP.0..=CLOCK_STEP.1).contains(&by.0), at("ahead"), "1s to 24h");
+            }
+            _ => return,
+        }
+        // What breaks a client's own connection is owed to nobody, which no check could tell from a loss.
+        let breaks = self.errno.is_some_and(|errno| errno != Errno::Eintr)
+            && self.calls.iter().any(|call| matches!(call, Call::Recv | Call::Send));
+        let spares_clients = !breaks || self.connections == Some(Connections::Made);
+        p.wants(spares_clients, at("connections"), "made, for an error that breaks connections");
+        for problem in crate::injection::problems(self) {
+            p.wants(false, at(problem.field), &problem.allowed);
+        }
+    }
+}
+
 impl RigSpec {
     /// Whether a name stands for something.
     fn knows(&self, name: &str) -> bool {
--- a/crates/rig/src/history.rs
+++ b/crates/rig/src/history.rs
@@ -209,6 +209,32 @@
     names: HashSet<Rc<str>>,
 }
 
+/// A time in which a process's wall clock was off, in microseconds of Unix time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Step {
+    /// From then on ...
+    pub from: i64,
+    /// ... until then.
+    pub to: i64,
+    /// By this much, ahead where it is positive.
+    pub by: i64,
+}
+
+/// Lines of a log may be out of order by less than this.
+const OUT_OF_ORDER_US: i64 = 500_000;
+
+/// When a line was written that a stepped clock has stamped: of the times at which the clock would have said so, the
+/// earliest that is not before the line ahead of it. Steps of one process do not overlap.
+pub fn true_time(stamp: i64, before: i64, steps: &[Step]) -> i64 {
+    let off_at = |at: i64| steps.iter().find(|step| (step.from..step.to).contains(&at)).map_or(0, |s| s.by);
+    let offsets = std::iter::once(0).chain(steps.iter().map(|step| step.by));
+    offsets
+        .filter_map(|by| stamp.checked_sub(by).filter(|at| off_at(*at) == by))
+        .filter(|at| *at >= before.saturating_sub(OUT_OF_ORDER_US))
+        .min()
+        .unwrap_or(stamp)
+}
+
 /// Unix time now.
 pub fn unix_us() -> i64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as i64
@@ -246,8 +272,14 @@
     ///
     /// # Errors
     /// It can't be read.
-    pub fn log(&mut self, path: &Path, process: &str, incarnation: u32) -> io::Result<()> {
-        self.lines(path, |this, line| this.log_line(line, process, incarnation))
+    pub fn log(&mut self, path: &Path, process: &str, incarnation: u32, steps: &[Step]) -> io::Result<()> {
+        let started = self.entries.iter().find(|entry| {
+            matches!(entry.what, What::Started)
+                && *entry.process == *process
+                && entry.incarnation == incarnation
+        });
+        let mut before = started.map_or(i64::MIN, |entry| entry.at + self.zero_us);
+        self.lines(path, |this, line| this.log_line(line, process, incarnation, steps, &mut before))
     }
 
     /// Stand-ins' or the load's books.
@@ -274,10 +306,18 @@
         Ok(())
     }
 
-    fn log_line(&mut self, line: &str, process: &str, incarnation: u32) -> Option<()> {
+    fn log_line(
+        &mut self,
+        line: &str,
+        process: &str,
+        incarnation: u32,
+        steps: &[Step],
+        before: &mut i64,
+    ) -> Option<()> {
         let line: Value = serde_json::from_str(line).ok()?;
         let time = humantime::parse_rfc3339(line["timestamp"].as_str()?).ok()?;
-        let at = time.duration_since(UNIX_EPOCH).ok()?.as_micros() as i64;
+        let at = true_time(time.duration_since(UNIX_EPOCH).ok()?.as_micros() as i64, *before, steps);
+        *before = at.max(*before);
         let message = line["message"].as_str().unwrap_or_default();
         if message == "attempt ended" {
             let sent = at - line["micros"].as_i64()? - self.zero_us;
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod figures;
 pub mod fleet;
 pub mod history;
+pub mod injection;
 pub mod links;
 pub mod plan;
 pub mod process;
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -1,7 +1,8 @@
 //! One process of a run over all its incarnations: started, killed, stopped, awaited.
 
+use crate::injection::Injected;
 use rustix::process::{Pid, Resource, Rlimit, Signal, getrlimit, kill_process, prlimit};
-use std::cell::{Cell, RefCell};
+use std::cell::{Cell, OnceCell, RefCell};
 use std::ffi::OsString;
 use std::fs::File;
 use std::io;
@@ -60,6 +61,8 @@
     pub on_second: Cell<bool>,
     /// Faults that hold it down.
     pub down: Cell<u32>,
+    /// The faults in its own system calls, where the schedule has some.
+    pub injected: OnceCell<Injected>,
 }
 
 /// What is started.
@@ -77,7 +80,7 @@
         let (state, logs) = (folder.join("state").join(name), folder.join("logs"));
         std::fs::create_dir_all(&state)?;
         std::fs::create_dir_all(&logs)?;
-        let (running, incarnations, turn, on_second, down) = Default::default();
+        let (running, incarnations, turn, on_second, down, injected) = Default::default();
         Ok(Process {
             name: name.to_owned(),
             state,
@@ -88,6 +91,7 @@
             turn,
             on_second,
             down,
+            injected,
         })
     }
 
@@ -119,6 +123,9 @@
         for name in CLEARED {
             command.env_remove(name);
         }
+        if let Some(injected) = self.injected.get() {
+            injected.prepare(&mut command);
+        }
         command.env("TMPDIR", &self.state).stdin(Stdio::null()).stdout(said);
         let program = Path::new(&start.words[0]).display().to_string();
         let mut child = command.spawn().map_err(|e| format!("{}: {program}: {e}", self.name))?;
@@ -151,6 +158,11 @@
         }
     }
 
+    /// Its end is what the rig wants, and comes by itself.
+    pub fn expect_end(&self) {
+        self.running.borrow_mut().iter_mut().for_each(|running| running.told = true);
+    }
+
     /// Lets no file of it grow any more, or lets them again.
     ///
     /// # Errors
--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -1,7 +1,8 @@
 //! A run: everything is started, the schedule happens while requests come, all ends, and the history is gathered.
 
 use crate::door::{Door, Ways};
-use crate::history::{History, What, unix_us};
+use crate::history::{History, Step, What, unix_us};
+use crate::injection::Injected;
 use crate::links::{Holding, Link};
 use crate::plan::{Member, Plan, Role, Side};
 use crate::process::{Process, Ready, Start};
@@ -125,6 +126,8 @@
     octet: u8,
     /// Sites in the order of their views of discovery.
     pub(crate) views: Vec<Side>,
+    /// By how much the stamps of processes were off, by name.
+    pub(crate) steps: RefCell<BTreeMap<String, Vec<Step>>>,
     zero: Cell<Option<Instant>>,
     cost: RefCell<Cost>,
     /// What is to be told a person who waits.
@@ -220,7 +223,13 @@
         for (n, member) in plan.members.iter().enumerate() {
             let process =
                 (member.role != Role::Endpoint).then(|| Process::new(&member.name, &folder, limits(n)));
-            processes.push(process.transpose().map_err(|e| format!("{}: {e}", member.name))?.map(Rc::new));
+            let process = process.transpose().map_err(|e| format!("{}: {e}", member.name))?.map(Rc::new);
+            if let Some(process) = &process
+                && let Some(injected) = Injected::new(&plan, n, &process.state)?
+            {
+                let _ = process.injected.set(injected); // it is new: nothing is there yet
+            }
+            processes.push(process);
             let hall =
                 member.side.hall.as_ref().and_then(|hall| halls.iter().position(|(name, _)| name == hall));
             let third = match member.role {
@@ -237,7 +246,7 @@
                 &views,
             )?);
         }
-        let (wires, relays, holding, history, zero, said) = Default::default();
+        let (wires, relays, holding, history, steps, zero, said) = Default::default();
         let cost =
             RefCell::new(Cost { processes: processes.iter().flatten().count() + 1, ..Cost::default() });
         let rig = Rig {
@@ -252,6 +261,7 @@
             own,
             octet,
             views,
+            steps,
             zero,
             cost,
             said,
@@ -267,7 +277,12 @@
 
     /// Notes what the rig itself does or sees.
     pub fn note(&self, process: &str, incarnation: u32, what: What) {
-        self.history.borrow_mut().add(unix_us(), process, incarnation, what);
+        self.note_at(unix_us(), process, incarnation, what);
+    }
+
+    /// The same of what came before now.
+    pub fn note_at(&self, at: i64, process: &str, incarnation: u32, what: What) {
+        self.history.borrow_mut().add(at, process, incarnation, what);
     }
 
     pub fn discovery(&self) -> usize {
@@ -652,8 +667,9 @@
                     _ => false,
                 };
                 if self.plan.members.iter().any(|m| m.name == process.name && read(m)) {
+                    let steps = self.steps.borrow().get(&process.name).cloned().unwrap_or_default();
                     history
-                        .log(&path, &process.name, incarnation)
+                        .log(&path, &process.name, incarnation, &steps)
                         .map_err(|e| format!("{}: {e}", path.display()))?;
                 }
             }
--- a/crates/rig/src/versions.rs
+++ b/crates/rig/src/versions.rs
@@ -231,7 +231,7 @@
     let forgets: BTreeSet<&str> = (plan.spec.faults.iter().zip(&plan.struck))
         .filter(|(fault, _)| {
             // What a full disk has not taken is forgotten too.
-            matches!(fault.what, Kind::StateFull | Kind::StateUnwritable)
+            matches!(fault.what, Kind::StateFull | Kind::StateUnwritable | Kind::Disk)
                 || fault.state.is_some_and(|state| state != StateIs::Keep)
         })
         .flat_map(|(_, struck)| struck.iter().map(|n| &plan.members[*n].name[..]))
--- a/crates/rig/tests/files.rs
+++ b/crates/rig/tests/files.rs
@@ -1,6 +1,7 @@
 //! Rig files: those that ship are sound, what is wrong is named, and what is drawn is sound too.
 
 use curlewhub_rig::campaign::{drawn, smaller};
+use curlewhub_rig::history::{Step, true_time};
 use curlewhub_rig::plan::{Plan, Role};
 use curlewhub_rig::spec::RigSpec;
 use proptest::prelude::*;
@@ -35,6 +36,9 @@
 fn what_is_wrong_is_named_by_field_before_anything_starts() {
     // What is added to a sound file, and what is said of it.
     let fault = |text: &str| format!("[[faults]]\nat = \"1s\"\n{text}");
+    let struck = |what: &str, text: &str| {
+        fault(&format!("for = \"1s\"\nwhat = \"{what}\"\non = [\"edge\"]\n{text}"))
+    };
     let cases = [
         (
             fault("what = \"die\"\non = [\"nowhere\"]"),
@@ -87,6 +91,43 @@
             "[[processes]]\nname = \"k\"\ncount = 1\nprogram = \"/no/such\"\nwords = []".to_owned(),
             "processes[0].program",
         ),
+        (
+            fault("for = \"1s\"\nwhat = \"system_call\"\non = [\"edge\"]\ncalls = [\"recv\"]"),
+            "faults[0].errno: allowed: something: SystemCall needs it",
+        ),
+        (
+            struck("system_call", "calls = [\"accept\"]\nerrno = \"ENOSPC\""),
+            "faults[0].errno: allowed: an error of `accept`, and ENOSPC is none",
+        ),
+        (struck("system_call", "calls = [\"recv\"]\nerrno = \"EAGAIN\""), "EAGAIN"),
+        (
+            struck("system_call", "calls = [\"fsync\"]\nerrno = \"EIO\""),
+            "faults[0].calls: allowed: calls on sockets",
+        ),
+        (
+            struck("system_call", "calls = [\"recv\"]\nerrno = \"ETIMEDOUT\""),
+            "faults[0].connections: allowed: made, for an error that breaks connections",
+        ),
+        (
+            struck("system_call", "calls = [\"recv\"]\nerrno = \"EINTR\"\nnth = 3\nshare = 0.1"),
+            "faults[0].nth: allowed: this, or `share`",
+        ),
+        (struck("system_call", "calls = [\"recv\"]\nerrno = \"EINTR\"\nnth = 0"), "faults[0].nth"),
+        (struck("system_call", "calls = [\"recv\"]\nerrno = \"EINTR\"\ncount = 0"), "faults[0].count"),
+        (struck("short_io", "bytes = 0"), "faults[0].bytes: allowed: 1 byte or more"),
+        (
+            struck("short_io", "bytes = 3\ncalls = [\"connect\"]"),
+            "faults[0].bytes: allowed: a call that carries bytes",
+        ),
+        (struck("disk", "errno = \"EIO\"\nbytes = 3"), "faults[0].errno: allowed: this, or `bytes`"),
+        (struck("disk", "errno = \"EIO\"\ncalls = [\"recv\"]"), "faults[0].calls: allowed: calls on files"),
+        (
+            struck("disk", "errno = \"EPIPE\""),
+            "faults[0].errno: allowed: an error of `open`, and EPIPE is none",
+        ),
+        (struck("clock_step", ""), "faults[0].ahead: allowed: this, or `behind`"),
+        (struck("clock_step", "behind = \"30ms\""), "faults[0].ahead: allowed: 1s to 24h"),
+        (struck("clock_step", "ahead = \"1h\"\nnth = 2"), "faults[0].nth: allowed: not for ClockStep"),
         ("spede = 1".to_owned(), "spede"),
     ];
     for (text, wanted) in cases {
@@ -113,6 +154,34 @@
     assert!(others.count() > 20);
 }
 
+#[test]
+fn faults_in_system_calls_are_drawn_sound_too() {
+    use curlewhub_rig::fault::Kind::{ClockStep, Disk, ShortIo, SystemCall};
+    let mut spec = spec();
+    spec.draw.as_mut().unwrap().kinds = vec![SystemCall, ShortIo, Disk, ClockStep];
+    for seed in 0..200 {
+        assert_eq!(drawn(&spec, seed).problems(), Vec::<String>::new(), "{seed}");
+    }
+}
+
+#[test]
+fn stamps_of_a_stepped_clock_are_put_right() {
+    const SECOND: i64 = 1_000_000;
+    for by in [-3600, -3, 3, 3600].map(|seconds| seconds * SECOND) {
+        let steps = [
+            Step { from: 10 * SECOND, to: 20 * SECOND, by },
+            Step { from: 30 * SECOND, to: i64::MAX, by: -by },
+        ];
+        let mut before = 0;
+        for at in (0..40_000).step_by(130).map(|ms| ms * 1000) {
+            let off = steps.iter().find(|s| (s.from..s.to).contains(&at)).map_or(0, |s| s.by);
+            // The line ahead of it may be a little younger.
+            assert_eq!(true_time(at + off, before + SECOND / 4, &steps), at, "{by}");
+            before = at;
+        }
+    }
+}
+
 proptest! {
     #[test]
     fn what_is_drawn_is_sound_the_same_for_a_seed_and_can_be_made_smaller(seed in 0..=curlewhub_rig::spec::SEED_MOST) {
