--- a/crates/curlewhub/tests/system_calls.rs
+++ b/crates/curlewhub/tests/system_calls.rs
@@ -339,6 +339,25 @@
     }
 }
 
+#[test]
+fn no_connection_can_be_made_from_the_first_request_on() {
+    for errno in [Errno::Eaddrnotavail, Errno::Enetunreach] {
+        let setup = Setup::serving(|places| {
+            vec![Entry::fails(&[Call::Connect], errno).on(places.endpoints.clone())]
+        });
+        setup.switch(Switch::On);
+        let during = setup.rounds(&CLASSES, false, CLIENTS, &|_, n| n < BEFORE);
+        assert!(during.is_whole() && during.served == 0, "{errno}: {during:?}\n{}", setup.sidecar.log());
+        assert!(setup.injection.struck(0).unwrap() > 0);
+        setup.switch(Switch::Off);
+        // Endpoints may be spared for a moment after so many failures.
+        wait_for("a served request", || setup.sidecar.ask("quote", "after").status() == 200);
+        let after = setup.rounds(&CLASSES, false, CLIENTS, &|_, n| n < BEFORE);
+        assert!(after.is_all_served(), "{errno}: {after:?}\n{}", setup.sidecar.log());
+        eprintln!("{errno}: {during:?}, then {after:?}");
+    }
+}
+
 #[test]
 fn sockets_for_new_connections_can_not_be_had_for_a_moment() {
     for errno in [Errno::Enfile, Errno::Emfile, Errno::Enobufs] {
@@ -353,7 +372,8 @@
 fn reads_and_writes_are_short() {
     let short = |call, bytes| Entry::new(&[call], Effect::Short { bytes });
     let setup = Setup::serving(|_| vec![short(Call::Recv, 7), short(Call::Send, 5)]);
-    let outcome = setup.play(&CLASSES, false);
+    // Each request and each answer takes many calls now.
+    let outcome = setup.play_with(&CLASSES, false, CLIENTS, 2000);
     assert!(outcome.is_all_served(), "{outcome:?}\n{}", setup.sidecar.log());
 }
 
@@ -417,7 +437,8 @@
 fn the_wall_clock_is_stepped_by_an_hour_and_by_seconds() {
     for offset_ms in [-3_600_000, -3_000, 3_000, 3_600_000] {
         let setup = Setup::serving(|_| vec![Entry::new(&[], Effect::ClockStep { offset_ms })]);
-        let outcome = setup.play_with(&["quote", "book", "pay"], false, CLIENTS, 1);
+        // Each request reads the wall clock a few times.
+        let outcome = setup.play_with(&["quote", "book", "pay"], false, CLIENTS, 300);
         assert!(outcome.is_all_served(), "{offset_ms}: {outcome:?}\n{}", setup.sidecar.log());
     }
 }
