--- a/crates/balance/src/balance.rs
+++ b/crates/balance/src/balance.rs
@@ -9,6 +9,7 @@
 mod learning;
 mod members;
 mod share;
+mod slow_start;
 mod snapshot;
 
 pub use facts::Portion;
@@ -91,6 +92,8 @@
 
 struct Endpoint {
     info: EndpointInfo,
+    /// From when on its start is counted, on this process's monotonic clock; none means long ago.
+    cold_from: Option<Duration>,
     /// Taken out of use by hand.
     banned: bool,
     /// When it was given back: it may have been restarted while out, whatever the list says yet.
@@ -177,6 +180,8 @@
     /// Only endpoints that have answered of late are chosen: others may drain unheard.
     blind: bool,
     started: bool,
+    /// A list that names endpoints has been taken: starts that become known from now on are new.
+    listed: bool,
 }
 
 impl Pending {
@@ -237,6 +242,7 @@
             list_old: None,
             blind: false,
             started: false,
+            listed: false,
         })
     }
 
--- a/crates/balance/src/balance/choice.rs
+++ b/crates/balance/src/balance/choice.rs
@@ -10,8 +10,6 @@
 const DRAG_FREE: f64 = 0.5;
 /// Occupancy by which an endpoint of another zone must be better: a crossing costs time and money.
 const CROSS_MARGIN: f64 = 1.0;
-/// Share of the multiple at which a cold endpoint falls that all balancers together may use.
-const COLD_CAUTION: f64 = 0.5;
 /// Discovery is mostly heard again within the first; after the second without a refusal the old list serves.
 pub(super) const BLIND_AFTER: Duration = Duration::from_secs(2);
 const BLIND_MOST: Duration = Duration::from_secs(15);
@@ -158,23 +156,4 @@
     pub(super) fn room(&self, now: Duration, i: usize) -> f64 {
         (self.endpoints[i].limit * self.share * self.warmth(now, i)).max(1.0)
     }
-
-    /// The part of its capacity that an endpoint surely has: it rises evenly from the cold share.
-    pub(super) fn warmth(&self, now: Duration, i: usize) -> f64 {
-        let rules = &self.settings.rules;
-        let endpoint = &self.endpoints[i];
-        let Some(started) = endpoint.info.started.max(endpoint.back) else { return 1.0 };
-        let age = now.saturating_sub(started).as_secs_f64() / rules.warm_within.as_secs_f64().max(1e-3);
-        (rules.cold_share + (1.0 - rules.cold_share) * age).clamp(0.01, 1.0)
-    }
-
-    /// Rule 4: this balancer's part of the multiple at which a cold endpoint falls, by what warm ones serve.
-    pub(super) fn cold_tokens(&self, now: Duration, i: usize) -> f64 {
-        let rules = &self.settings.rules;
-        let endpoint = &self.endpoints[i];
-        let caution = COLD_CAUTION * self.share;
-        let rate = self.warmth(now, i) * rules.fall_multiple * caution * self.proven_rate(now);
-        let most = (rate * rules.fall_after.as_secs_f64() * COLD_CAUTION).max(1.0);
-        (endpoint.cold_tokens + rate * now.saturating_sub(endpoint.cold_at).as_secs_f64()).min(most)
-    }
 }
--- a/crates/balance/src/balance/members.rs
+++ b/crates/balance/src/balance/members.rs
@@ -70,23 +70,33 @@
 
     fn update_endpoints(&mut self, now: Duration, entries: Vec<EndpointInfo>) {
         let limit = (LIMIT_START * self.of_few()).max(1.0);
+        let nonempty = !entries.is_empty();
         for info in entries {
             match self.index.get(&info.id) {
+                // What is said of the start of one that has gone, is said of no process.
+                Some(&i) if info.state == EndpointState::Gone => {
+                    self.endpoints[i].info.state = EndpointState::Gone;
+                }
                 Some(&i) => {
-                    let endpoint = &mut self.endpoints[i];
-                    if info.started != endpoint.info.started {
+                    if info.started != self.endpoints[i].info.started {
+                        let cold_from = Some(now); // it is watched: new, whatever is stated
+                        let endpoint = &mut self.endpoints[i];
                         (endpoint.drag.value, endpoint.heat.value, endpoint.rests_until) =
                             (0.0, 0.0, Duration::ZERO);
-                        (endpoint.cold_tokens, endpoint.cold_at) = (self.draws.uniform(), now);
+                        (endpoint.cold_from, endpoint.cold_tokens, endpoint.cold_at) =
+                            (cold_from, self.draws.uniform(), now);
                     }
-                    endpoint.info = info;
+                    self.endpoints[i].info = info;
                 }
+                None if info.state == EndpointState::Gone => {}
                 None => {
+                    let cold_from = self.cold_from(now, info.started);
                     self.index.insert(info.id, self.endpoints.len());
                     self.endpoints.push(Endpoint {
                         banned: self.banned.contains(&info.id),
-                        opening: info.started.is_none(),
+                        opening: cold_from.is_none(),
                         info,
+                        cold_from,
                         back: None,
                         in_flight: 0,
                         heat: Fading::default(),
@@ -101,6 +111,7 @@
                 }
             }
         }
+        self.listed |= nonempty;
         self.endpoints.retain(|e| e.info.state != EndpointState::Gone || e.in_flight > 0);
         self.index = self.endpoints.iter().enumerate().map(|(i, e)| (e.info.id, i)).collect();
         self.choose_part(now);
--- a/crates/balance/src/balance/snapshot.rs
+++ b/crates/balance/src/balance/snapshot.rs
@@ -32,7 +32,7 @@
     limit_cut_at: Duration,
     cold_tokens: f64,
     cold_at: Duration,
-    /// When an operator gave it back, cold.
+    /// When an operator gave it back, or from when on its start is counted if that is later than stated: it is cold.
     back: Option<Duration>,
 }
 
@@ -102,7 +102,8 @@
             limit_cut_at: e.limit_cut_at,
             cold_tokens: e.cold_tokens,
             cold_at: e.cold_at,
-            back: e.back,
+            // With it: from when on its start is counted here, where that is later than what is stated.
+            back: e.back.max(e.cold_from.filter(|from| e.info.started.is_none_or(|at| *from > at))),
         };
         Snapshot {
             taken: now,
@@ -135,6 +136,8 @@
             let Some(&i) = self.index.get(&old.id) else { continue };
             let endpoint = &mut self.endpoints[i];
             if endpoint.info.started != old.started {
+                // It has started since, whatever time is stated.
+                endpoint.back = endpoint.back.max(Some(snapshot.taken.min(now)));
                 continue;
             }
             (endpoint.heat, endpoint.drag) = (old.heat.not_ahead(now), old.drag.not_ahead(now));
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -36,6 +36,7 @@
 mod queue;
 mod retry;
 mod scenario;
+mod slow_start;
 mod tally;
 mod world;
 
@@ -44,7 +45,7 @@
 pub use retry::{End, RetrySpec, pick};
 pub use scenario::{
     ArrivalSpec, Carry, ClassSpec, CutDirection, EndpointsSpec, FaultSpec, FleetSpec, NetworkSpec, Point,
-    ReplacementSpec, Scenario, ScenarioError, Spread, TenantSpec, Trouble,
+    ReplacementSpec, Scenario, ScenarioError, SlowStartSpec, Spread, TenantSpec, Trouble,
 };
 pub use tally::{Move, Outcome, Second, TenantOutcome, Totals};
 
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -68,11 +68,31 @@
     /// Replacements of sidecars' processes.
     #[serde(default)]
     pub replacements: Vec<ReplacementSpec>,
+    /// What fells a cold endpoint.
+    #[serde(default)]
+    pub slow_start: SlowStartSpec,
     /// Consensus servers, and sidecars that go by what they decide of zones.
     #[serde(default)]
     pub fleet: Option<FleetSpec>,
 }
 
+/// A cold endpoint falls by more than this multiple of its capacity within this time.
+#[derive(Clone, Copy, Debug, Deserialize, Serialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct SlowStartSpec {
+    /// The multiple.
+    pub fall_multiple: f64,
+    /// The time.
+    pub fall_after: Span,
+}
+
+impl Default for SlowStartSpec {
+    fn default() -> Self {
+        let rules = Rules::default();
+        SlowStartSpec { fall_multiple: rules.fall_multiple, fall_after: Span(rules.fall_after) }
+    }
+}
+
 /// A fleet.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
@@ -355,6 +375,13 @@
         if problems.is_empty() { Ok(scenario) } else { Err(ScenarioError::Invalid(problems)) }
     }
 
+    /// Seconds of work that a request takes in the mean, over all classes.
+    pub(crate) fn mean_work(&self) -> f64 {
+        let shares: f64 = self.classes.iter().map(|class| class.share).sum();
+        let work = self.classes.iter().map(|class| class.share * class.work.0.as_secs_f64());
+        work.sum::<f64>() / shares.max(f64::MIN_POSITIVE)
+    }
+
     /// The settings of one sidecar's module.
     pub(crate) fn settings(&self, me: u32) -> Settings {
         let class = |class: &ClassSpec| Class {
@@ -392,6 +419,8 @@
             rules: Rules {
                 cold_share: machines().map(|m| m.cold_share).fold(1.0, f64::min),
                 warm_within: machines().map(|m| m.warm_after.0).max().unwrap_or_default(),
+                fall_multiple: self.slow_start.fall_multiple,
+                fall_after: self.slow_start.fall_after.0,
                 ..Rules::default()
             },
             ..Settings::default()
--- a/crates/model/src/scenario/problems.rs
+++ b/crates/model/src/scenario/problems.rs
@@ -64,6 +64,13 @@
         problems.number("arrivals.rate", self.arrivals.rate, 0.0, 1e7);
         problems.number("network.jitter", self.network.jitter, 0.0, 10.0);
         problems.number("max_attempts", self.max_attempts.into(), 1.0, 100.0);
+        problems.number("slow_start.fall_multiple", self.slow_start.fall_multiple, 0.001, 1e6);
+        problems.number(
+            "slow_start.fall_after (s)",
+            self.slow_start.fall_after.0.as_secs_f64(),
+            0.001,
+            3600.0,
+        );
         problems.number("zones", self.zones.len() as f64, 1.0, 1000.0);
         problems.number("classes", self.classes.len() as f64, 1.0, 1000.0);
         let count: u64 = self.endpoints.iter().map(|kind| u64::from(kind.count)).sum();
--- a/crates/model/src/tally.rs
+++ b/crates/model/src/tally.rs
@@ -41,6 +41,10 @@
     pub ran_twice: u64,
     /// Answers to what had been answered: never.
     pub answered_twice: u64,
+    /// Starts of endpoints after which a cold one got more than it bears; in the second of that fall.
+    pub falls: u64,
+    /// Of these, falls that break the rule: over two thirds came from sidecars that had been told of the start.
+    pub told_falls: u64,
     /// Worth of all that was offered.
     pub worth_offered: f64,
     /// Worth of what was served.
@@ -293,6 +297,8 @@
             runs: self.runs + more.runs,
             ran_twice: self.ran_twice + more.ran_twice,
             answered_twice: self.answered_twice + more.answered_twice,
+            falls: self.falls + more.falls,
+            told_falls: self.told_falls + more.told_falls,
             worth_offered: self.worth_offered + more.worth_offered,
             worth_served: self.worth_served + more.worth_served,
         }
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -12,6 +12,7 @@
 use crate::queue::Queue;
 use crate::retry::End;
 use crate::scenario::{Carry, CutDirection, FaultSpec, Scenario, Trouble};
+use crate::slow_start::SlowStart;
 use crate::tally::{Outcome as Brought, Tally};
 use curlewhub_balance::{
     Action, AttemptEnded, AttemptNo, CellId, ClassId, Earlier, EndpointId, EndpointInfo, Event, Membership,
@@ -66,6 +67,8 @@
     up: bool,
     hangs: bool,
     started: Option<Duration>,
+    /// What it gets while it is cold.
+    slow_start: Option<SlowStart>,
     /// Attempts that are there.
     here: BTreeSet<u64>,
     /// The number of the look that is planned; others are void.
@@ -147,6 +150,7 @@
                     up: true,
                     hangs: false,
                     started: None,
+                    slow_start: None,
                     here: BTreeSet::new(),
                     look: 0,
                 });
@@ -238,6 +242,9 @@
             Ev::FaultBegins(n) => self.fault(n, true),
             Ev::FaultEnds(n) => self.fault(n, false),
             Ev::Listed(endpoint) => {
+                if let Some(slow_start) = &mut self.endpoints[endpoint].slow_start {
+                    slow_start.told(self.now);
+                }
                 let entry = self.entry(endpoint);
                 for process in 0..self.processes.len() {
                     if self.processes[process].alive {
