--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -387,8 +387,9 @@
         self.tidy(id);
     }
 
-    /// An endpoint can't start later than now: it would count as cold until then, be that for years.
-    fn no_future_starts(&self, entries: &mut [EndpointInfo]) {
+    /// Warns of endpoints whose stated start lies ahead of this machine's clock. The statement itself stays: the module
+    /// counts no start as later than now, and one that was rewritten on each listing would look like a new start each time.
+    fn warn_of_future_starts(&self, entries: &[EndpointInfo]) {
         let now = self.clock.now();
         for entry in entries {
             let ahead = entry.started.map_or(Duration::ZERO, |started| started.saturating_sub(now));
@@ -396,11 +397,10 @@
                 let endpoint = self.listing.uid(entry.id);
                 warn!(endpoint, field = "boot_ms", ?ahead, "it lies in the future: taken for now");
             }
-            entry.started = entry.started.map(|started| started.min(now));
         }
     }
 
-    fn list(&mut self, mut news: News) {
+    fn list(&mut self, news: News) {
         for (id, address) in &news.addresses {
             let before = self.addresses.insert(*id, *address);
             if before.is_some_and(|before| before != *address) {
@@ -409,9 +409,9 @@
         }
         let named: Vec<EndpointId> = news.addresses.iter().map(|(id, _)| *id).collect();
         if let Membership::Full(entries) | Membership::Cached(entries) | Membership::Delta(entries) =
-            &mut news.membership
+            &news.membership
         {
-            self.no_future_starts(entries);
+            self.warn_of_future_starts(entries);
         }
         let (whole, entries) = match &news.membership {
             Membership::Full(entries) | Membership::Cached(entries) => (true, entries),
