--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -3,7 +3,7 @@
 use crate::config::{
     Config, ENDPOINT_CONNECTIONS_MOST, LEAST_MEMORY_MB, LEAST_SOCKETS, LOG_PER_SECOND, Log, Named, Names,
 };
-use crate::fleet::{FleetConfig, KeyConfig, PlacesConfig};
+use crate::fleet::{FleetConfig, KeyConfig, ZoneFailoverConfig};
 use crate::list::{List, State, Target};
 use crate::problem::{Problem, Problems};
 use crate::reader::{Effective, Override, Reader, Section, any, only};
@@ -386,20 +386,20 @@
         name: name.to_owned(),
         listen: s.required(r, "listen", nowhere, &any("an address and port, such as 127.0.0.1:7411")),
         advertise: s.optional(r, "advertise", &any("an address and port")),
-        hall: hall.to_owned(),
+        zone: hall.to_owned(),
         state_dir: state_dir.to_owned(),
         key: s.required(r, "key", no_key, &key),
         other_key: s.optional(r, "other_key", &key),
-        keepers: s.required(r, "keepers", Vec::new(), &any(tables)),
+        consensus_servers: s.required(r, "keepers", Vec::new(), &any(tables)),
         peers: s.or(r, "peers", Vec::new(), &any("a list of tables: [[fleet.peers]]")),
-        places: s.or(r, "places", PlacesConfig::default(), &any("a table: [fleet.places]")),
+        zone_failover: s.or(r, "places", ZoneFailoverConfig::default(), &any("a table: [fleet.places]")),
         clock_ahead_ms: s.or(r, "clock_ahead_ms", 0, &any("milliseconds")),
         joins: false,
     };
     s.finish(r);
     for (field, allowed) in config.problems() {
         // What is missing has been said.
-        if !(field == "keepers" && config.keepers.is_empty()) {
+        if !(field == "keepers" && config.consensus_servers.is_empty()) {
             r.problem_at(&format!("fleet.{field}"), "makes no sense", allowed);
         }
     }
--- a/crates/config/tests/file.rs
+++ b/crates/config/tests/file.rs
@@ -220,7 +220,10 @@
                  keepers = [{ id = 1, name = \"a\", address = \"127.0.0.1:7401\" }]\n";
     let (config, _) = parse(&format!("{LEAST}{fleet}")).unwrap();
     let held = config.fleet.unwrap();
-    assert_eq!((held.name, held.state_dir, held.keepers.len()), (config.name, config.state_dir, 1));
+    assert_eq!(
+        (held.name, held.state_dir, held.consensus_servers.len()),
+        (config.name, config.state_dir, 1)
+    );
     let cases = [
         ("listen = \"127.0.0.1:7411\"", "listen = \"10.1.1.1:7411\"", "fleet.listen"),
         ("listen = \"127.0.0.1:7411\"", "", "fleet.listen: missing"),
--- a/crates/config/tests/stored_forms.rs
+++ b/crates/config/tests/stored_forms.rs
@@ -1,6 +1,6 @@
 //! Keys of the settings: files that set each key, read into the same values as by commit d7660a1.
 
-#[path = "../../fleet/tests/support/fixture.rs"]
+#[path = "../../control-plane/tests/support/fixture.rs"]
 mod fixture;
 
 use curlewhub_config::fleet::FleetConfig;
--- a/crates/links/tests/links.rs
+++ b/crates/connection-quota/tests/links.rs
@@ -1,6 +1,6 @@
 //! Bounds on connections, by one sidecar and by hundreds before one endpoint.
 
-use curlewhub_links::*;
+use curlewhub_connection_quota::*;
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/crates/fleet-model/src/fleet.rs
+++ b/crates/control-plane-model/src/fleet.rs
@@ -1,24 +1,24 @@
 //! The run: takes what is to come in its order, and lets it happen.
 
-use crate::net::{Net, Place, Side};
-use crate::rules::Rules;
-use crate::spec::{Evidence, Spec};
-use crate::traffic::{Passed, Times, Traffic};
-use curlewhub_fleet::acted::{Acted, NotTaken};
-use curlewhub_fleet::agent::{self, Agent, Begin};
-use curlewhub_fleet::evidence::{Calls, Digest, Ended, Witness};
-use curlewhub_fleet::keeper::{Keeper, Kept, TICK};
-use curlewhub_fleet::members::{Member, Members, Role};
-use curlewhub_fleet::record::{Kind, Proposal, Version};
-use curlewhub_fleet::seat::{self, Seat};
-use curlewhub_fleet::view::View;
-use curlewhub_fleet::wire::{FORMAT, Said, Who};
-use curlewhub_locality::keeping::Keeping;
-use curlewhub_locality::machine::Moved;
-use curlewhub_locality::part::{self, Part, Right};
-use curlewhub_locality::places;
-use curlewhub_locality::side;
-use curlewhub_locality::warden::Warden;
+use crate::invariants::Invariants;
+use crate::network::{Location, Network, Scope};
+use crate::spec::{Evidence, SimulationSpec};
+use crate::traffic::{LatencyHistogram, Traffic, TrafficTotals};
+use curlewhub_control_plane::applied::{AppliedRecords, RecordRejection};
+use curlewhub_control_plane::client::{self, ClientSettings, FleetClient};
+use curlewhub_control_plane::consensus::{PersistedState, Replica, TICK_INTERVAL};
+use curlewhub_control_plane::consensus_server::{self, ConsensusServer};
+use curlewhub_control_plane::evidence::{CallCounts, CallOutcome, CallRecorder, Digest};
+use curlewhub_control_plane::membership::{Member, Membership, Role};
+use curlewhub_control_plane::protocol::{FORMAT, Message, PeerId};
+use curlewhub_control_plane::record::{Proposal, RecordKind, Version};
+use curlewhub_control_plane::view::View;
+use curlewhub_zone_failover::agent;
+use curlewhub_zone_failover::controller::ZoneController;
+use curlewhub_zone_failover::server::ControlServer;
+use curlewhub_zone_failover::state_machine::Transition;
+use curlewhub_zone_failover::zone_policy::{self, ZoneAccess, ZonePolicy};
+use curlewhub_zone_failover::zone_states;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
@@ -28,40 +28,40 @@
 use std::time::Duration;
 
 /// Messages that wait for one process, at the most, as in the program's inboxes.
-const INBOX_MOST: usize = 8192;
+const MAX_INBOX: usize = 8192;
 /// A frame's bytes beside its words: length, format, key's number and MAC.
-const FRAME: u64 = 41;
+const FRAME_OVERHEAD_BYTES: u64 = 41;
 /// The clock at the start.
 const EPOCH: Duration = Duration::from_secs(100);
 /// The proposer's name; it is no process, and reaches every keeper.
 const OPERATOR: &str = "operator";
 
 /// What runs in a process.
-enum Runs {
-    Keeper(Box<Keeping>),
+enum RunningProcess {
+    ConsensusServer(Box<ControlServer>),
     Sidecar(Box<Sidecar>),
 }
 
 /// What runs in a sidecar.
 struct Sidecar {
-    side: side::Side,
-    witness: Witness,
-    acted: Acted,
+    agent: agent::Agent,
+    witness: CallRecorder,
+    acted: AppliedRecords,
 }
 
 /// What a process's disk has.
 #[derive(Clone, Debug, Default)]
 struct Disk {
-    kept: Kept,
+    kept: PersistedState,
     view: View,
     incarnation: u64,
 }
 
 struct Node {
     name: String,
-    place: Place,
+    location: Location,
     at: SocketAddr,
-    runs: Option<Runs>,
+    runs: Option<RunningProcess>,
     disk: Disk,
     paused: bool,
     /// Which start of it; what was planned for an earlier one is void.
@@ -79,20 +79,20 @@
     traffic: Traffic,
 }
 
-enum Ev {
+enum Event {
     /// It is there, and is dealt with once its process is free.
-    Comes {
+    Arrives {
         to: usize,
         start: u32,
-        from: Rc<Who>,
-        said: Rc<Said>,
+        from: Rc<PeerId>,
+        message: Rc<Message>,
         bytes: u64,
     },
-    Dealt {
+    Processed {
         to: usize,
         start: u32,
-        from: Rc<Who>,
-        said: Rc<Said>,
+        from: Rc<PeerId>,
+        message: Rc<Message>,
     },
     Wake {
         node: usize,
@@ -102,54 +102,54 @@
 
 /// What befalls one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     /// It is gone; its disk has what it wrote.
     Crash,
     /// It is gone, and its disk with it.
-    Forget,
+    LoseDisk,
     /// It stands still, and hears what came meanwhile once it goes on.
     Pause,
     /// It goes on, or is started again.
-    Heal,
+    Recover,
 }
 
 /// A fleet that runs.
 pub struct Fleet {
-    spec: Spec,
+    spec: SimulationSpec,
     seed: u64,
     now: Duration,
     draws: Pcg32,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
-    events: HashMap<u64, Ev>,
+    events: HashMap<u64, Event>,
     planned: u64,
     nodes: Vec<Node>,
     numbers: HashMap<String, usize>,
     ats: HashMap<SocketAddr, usize>,
-    operator: Rc<Who>,
+    operator: Rc<PeerId>,
     proposals: u64,
     /// When the last of what was said on a stream comes, by its two sides: it keeps its order.
     streams: HashMap<(usize, usize), Duration>,
     /// The network, which may be changed at any time.
-    pub net: Net,
+    pub network: Network,
     /// A keeper that has written dies before it has said anything, in this part of all cases.
-    pub dies_written: f64,
+    pub crash_after_write: f64,
     /// What must hold.
-    pub rules: Rules,
+    pub invariants: Invariants,
     /// What has passed since the start, or since it was last set to nothing.
-    pub passed: Passed,
+    pub totals: TrafficTotals,
     /// Sidecars' times from a version's decision to holding it.
-    pub times: Times,
+    pub latencies: LatencyHistogram,
     /// What sidecars may send into halls from now on, by number, since it was last taken; times are since the start.
-    pub rights: Vec<(usize, Vec<(usize, Right)>)>,
+    pub access: Vec<(usize, Vec<(usize, ZoneAccess)>)>,
     /// Probes that sidecars are to make, since they were last taken: sidecar, hall, how many.
     pub probes: Vec<(usize, usize, u32)>,
     /// Moves that keepers have proposed, and when.
-    pub moves: Vec<(Duration, Moved)>,
+    pub transitions: Vec<(Duration, Transition)>,
 }
 
 /// The name of a hall.
-pub fn hall_name(hall: usize) -> String {
-    format!("hall-{hall}")
+pub fn zone_name(zone: usize) -> String {
+    format!("hall-{zone}")
 }
 
 fn address(node: usize) -> SocketAddr {
@@ -158,21 +158,21 @@
 
 impl Fleet {
     /// All are started; nothing has passed yet.
-    pub fn new(spec: Spec, seed: u64) -> Fleet {
-        let count = spec.keepers.len() + spec.sidecars.len();
+    pub fn new(spec: SimulationSpec, seed: u64) -> Fleet {
+        let count = spec.consensus_servers.len() + spec.sidecars.len();
         let node = |n: usize| {
-            let keepers = spec.keepers.len();
-            let (name, hall) = match n.checked_sub(keepers) {
-                None => (format!("keeper-{}", n + 1), spec.keepers[n]),
+            let keepers = spec.consensus_servers.len();
+            let (name, zone) = match n.checked_sub(keepers) {
+                None => (format!("keeper-{}", n + 1), spec.consensus_servers[n]),
                 Some(sidecar) => (format!("sidecar-{sidecar}"), spec.sidecars[sidecar]),
             };
-            let place = Place { node: n, hall, region: spec.halls[hall] };
+            let location = Location { node: n, zone, region: spec.zones[zone] };
             let first = keepers - spec.joining;
             let ids: Vec<u64> = (1..=first as u64).collect();
-            let kept = if n < first { Keeper::first(&ids) } else { Kept::default() };
+            let kept = if n < first { Replica::bootstrap_state(&ids) } else { PersistedState::default() };
             Node {
                 name,
-                place,
+                location,
                 at: address(n),
                 runs: None,
                 disk: Disk { kept, ..Disk::default() },
@@ -191,7 +191,7 @@
         let nodes: Vec<Node> = (0..count).map(node).collect();
         let numbers = nodes.iter().enumerate().map(|(n, node)| (node.name.clone(), n)).collect();
         let ats = nodes.iter().enumerate().map(|(n, node)| (node.at, n)).collect();
-        let net = spec.net.clone();
+        let net = spec.network.clone();
         let mut fleet = Fleet {
             spec,
             seed,
@@ -203,19 +203,19 @@
             nodes,
             numbers,
             ats,
-            operator: Rc::new(Who { name: OPERATOR.to_owned(), incarnation: 1 }),
+            operator: Rc::new(PeerId { name: OPERATOR.to_owned(), incarnation: 1 }),
             proposals: 0,
             streams: HashMap::new(),
-            net,
-            dies_written: 0.0,
-            rules: Rules::default(),
-            passed: Passed::default(),
-            times: Times::default(),
-            rights: Vec::new(),
+            network: net,
+            crash_after_write: 0.0,
+            invariants: Invariants::default(),
+            totals: TrafficTotals::default(),
+            latencies: LatencyHistogram::default(),
+            access: Vec::new(),
             probes: Vec::new(),
-            moves: Vec::new(),
+            transitions: Vec::new(),
         };
-        let joining = fleet.keepers() - fleet.spec.joining..fleet.keepers();
+        let joining = fleet.consensus_servers() - fleet.spec.joining..fleet.consensus_servers();
         (0..count).filter(|n| !joining.contains(n)).for_each(|n| fleet.start(n));
         fleet
     }
@@ -231,8 +231,8 @@
     }
 
     /// Keepers.
-    pub fn keepers(&self) -> usize {
-        self.spec.keepers.len()
+    pub fn consensus_servers(&self) -> usize {
+        self.spec.consensus_servers.len()
     }
 
     /// Whether a process runs.
@@ -241,60 +241,67 @@
     }
 
     /// A keeper that runs.
-    pub fn seat(&self, node: usize) -> Option<&Seat> {
+    pub fn consensus(&self, node: usize) -> Option<&ConsensusServer> {
         match &self.nodes[node].runs {
-            Some(Runs::Keeper(keeping)) => Some(&keeping.seat),
+            Some(RunningProcess::ConsensusServer(server)) => Some(&server.consensus),
             _ => None,
         }
     }
 
     /// A keeper that runs, with its part in halls.
-    pub fn keeping(&self, node: usize) -> Option<&Keeping> {
+    pub fn server(&self, node: usize) -> Option<&ControlServer> {
         match &self.nodes[node].runs {
-            Some(Runs::Keeper(keeping)) => Some(keeping),
+            Some(RunningProcess::ConsensusServer(server)) => Some(server),
             _ => None,
         }
     }
 
     /// A sidecar's part in the fleet that runs.
-    pub fn agent(&self, node: usize) -> Option<&Agent> {
-        self.part(node).map(|side| &side.agent)
+    pub fn client(&self, node: usize) -> Option<&FleetClient> {
+        self.agent(node).map(|agent| &agent.client)
     }
 
     /// A sidecar's side that runs.
-    pub fn part(&self, node: usize) -> Option<&side::Side> {
+    pub fn agent(&self, node: usize) -> Option<&agent::Agent> {
         match &self.nodes[node].runs {
-            Some(Runs::Sidecar(sidecar)) => Some(&sidecar.side),
+            Some(RunningProcess::Sidecar(sidecar)) => Some(&sidecar.agent),
             _ => None,
         }
     }
 
     /// A sidecar's call goes out, as its host sees it, so long after the start; the sidecar is counted without the keepers.
-    pub fn began(&mut self, at: Duration, sidecar: usize, call: (u64, u32), hall: usize, class: usize) {
-        let (now, n) = (EPOCH + at, self.keepers() + sidecar);
-        if let Some(Runs::Sidecar(sidecar)) = &mut self.nodes[n].runs {
-            sidecar.witness.began(now, call, hall, class);
+    pub fn call_started(
+        &mut self,
+        at: Duration,
+        sidecar: usize,
+        call: (u64, u32),
+        zone: usize,
+        class: usize,
+    ) {
+        let (now, n) = (EPOCH + at, self.consensus_servers() + sidecar);
+        if let Some(RunningProcess::Sidecar(sidecar)) = &mut self.nodes[n].runs {
+            sidecar.witness.call_started(now, call, zone, class);
         }
     }
 
     /// It has ended.
-    pub fn ended(&mut self, sidecar: usize, call: (u64, u32), how: Ended, took: Duration) {
-        let n = self.keepers() + sidecar;
-        if let Some(Runs::Sidecar(sidecar)) = &mut self.nodes[n].runs {
-            sidecar.witness.ended(call, how, took);
+    pub fn call_finished(&mut self, sidecar: usize, call: (u64, u32), how: CallOutcome, took: Duration) {
+        let n = self.consensus_servers() + sidecar;
+        if let Some(RunningProcess::Sidecar(sidecar)) = &mut self.nodes[n].runs {
+            sidecar.witness.call_finished(call, how, took);
         }
     }
 
     /// A probe that was ordered was answered, or not.
-    pub fn probed(&mut self, sidecar: usize, hall: usize, answered: bool) {
-        let n = self.keepers() + sidecar;
-        if let Some(Runs::Sidecar(sidecar)) = &mut self.nodes[n].runs {
-            sidecar.witness.probed(hall, answered);
+    pub fn probe_finished(&mut self, sidecar: usize, zone: usize, answered: bool) {
+        let n = self.consensus_servers() + sidecar;
+        if let Some(RunningProcess::Sidecar(sidecar)) = &mut self.nodes[n].runs {
+            sidecar.witness.probe_finished(zone, answered);
         }
     }
 
     /// How long a process has been at work.
-    pub fn worked(&self, node: usize) -> Duration {
+    pub fn busy_time(&self, node: usize) -> Duration {
         self.nodes[node].worked
     }
 
@@ -305,15 +312,17 @@
 
     /// The keeper that leads, if one does; of several, that of the latest term.
     pub fn leader(&self) -> Option<usize> {
-        let leads = |n: &usize| self.seat(*n).is_some_and(|seat| seat.keeper.leads());
-        (0..self.keepers()).filter(leads).max_by_key(|n| self.seat(*n).map(|seat| seat.keeper.term()))
+        let leads = |n: &usize| self.consensus(*n).is_some_and(|consensus| consensus.replica.is_leader());
+        (0..self.consensus_servers())
+            .filter(leads)
+            .max_by_key(|n| self.consensus(*n).map(|consensus| consensus.replica.term()))
     }
 
     /// What a process holds.
     pub fn version(&self, node: usize) -> Version {
         match &self.nodes[node].runs {
-            Some(Runs::Keeper(keeping)) => keeping.seat.keeper.view().version(),
-            Some(Runs::Sidecar(sidecar)) => sidecar.side.agent.view().version(),
+            Some(RunningProcess::ConsensusServer(server)) => server.consensus.replica.view().version(),
+            Some(RunningProcess::Sidecar(sidecar)) => sidecar.agent.client.view().version(),
             None => self.nodes[node].disk.view.version(),
         }
     }
@@ -321,71 +330,82 @@
     /// Starts a process, with what its disk has.
     pub fn start(&mut self, n: usize) {
         let (seed, now) = (self.draws.random(), self.now);
-        let keepers: Vec<(String, SocketAddr)> =
-            self.nodes[..self.keepers()].iter().map(|node| (node.name.clone(), node.at)).collect();
+        let keepers: Vec<(String, SocketAddr)> = self.nodes[..self.consensus_servers()]
+            .iter()
+            .map(|node| (node.name.clone(), node.at))
+            .collect();
         let node = &mut self.nodes[n];
         node.start += 1;
         node.disk.incarnation += 1;
         (node.paused, node.waiting, node.busy_until, node.sequence) = (false, 0, now, 0);
         let own = Member {
             name: node.name.clone(),
-            role: if n < keepers.len() { Role::Keeper } else { Role::Sidecar },
-            hall: hall_name(node.place.hall),
-            at: node.at,
+            role: if n < keepers.len() { Role::ConsensusServer } else { Role::Sidecar },
+            zone: zone_name(node.location.zone),
+            address: node.at,
             build: String::new(),
             format: FORMAT,
             incarnation: node.disk.incarnation,
-            renewed: 0,
+            rejoins: 0,
         };
         node.runs = Some(if n < keepers.len() {
             let id = n as u64 + 1;
             // What its own disk kept is read again.
-            let keeper = Keeper::new(id, &node.disk.kept, seed, now);
+            let keeper = Replica::new(id, &node.disk.kept, seed, now);
             let Ok(keeper) = keeper else {
                 node.runs = None;
-                return self.rules.broken.push(format!(
+                return self.invariants.violations.push(format!(
                     "{} can't begin: {:?}",
                     self.nodes[n].name,
                     keeper.err()
                 ));
             };
             let names = keepers.iter().zip(1..).map(|((name, _), id)| (id, name.clone())).collect();
-            let warden = Warden::new(&own.name, self.spec.rules.clone());
-            let members = Members::new(own, &keepers, seed, now);
-            Runs::Keeper(Box::new(Keeping::new(Seat::new(keeper, members, names), warden)))
+            let controller = ZoneController::new(&own.name, self.spec.zone_failover.clone());
+            let members = Membership::new(own, &keepers, seed, now);
+            RunningProcess::ConsensusServer(Box::new(ControlServer::new(
+                ConsensusServer::new(keeper, members, names),
+                controller,
+            )))
         } else {
-            let halls: Vec<String> = (0..self.spec.halls.len()).map(hall_name).collect();
+            let zones: Vec<String> = (0..self.spec.zones.len()).map(zone_name).collect();
             let seen = self.spec.evidence == Evidence::Seen;
-            let (name, hall, rules) = (&own.name, &own.hall, self.spec.rules.clone());
-            let part = seen.then(|| Part::new(name, hall, halls.clone(), rules));
-            let witness = Witness::new(hall, halls);
-            let begin = Begin { own, keepers, peers: Vec::new(), view: node.disk.view.clone(), seed };
-            let mut agent = Agent::new(begin, now);
-            if self.spec.members {
-                agent.join(now);
+            let (name, zone, rules) = (&own.name, &own.zone, self.spec.zone_failover.clone());
+            let part = seen.then(|| ZonePolicy::new(name, zone, zones.clone(), rules));
+            let witness = CallRecorder::new(zone, zones);
+            let begin = ClientSettings {
+                own,
+                consensus_servers: keepers,
+                peers: Vec::new(),
+                view: node.disk.view.clone(),
+                seed,
+            };
+            let mut client = FleetClient::new(begin, now);
+            if self.spec.membership {
+                client.join(now);
             }
-            let side = side::Side::new(agent, part, now);
-            Runs::Sidecar(Box::new(Sidecar { side, witness, acted: Acted::default() }))
+            let agent = agent::Agent::new(client, part, now);
+            RunningProcess::Sidecar(Box::new(Sidecar { agent, witness, acted: AppliedRecords::default() }))
         });
-        if n >= self.keepers() {
+        if n >= self.consensus_servers() {
             self.act(n);
         }
         self.plan_wake(n);
     }
 
     /// Something befalls a process.
-    pub fn befalls(&mut self, n: usize, trouble: Trouble) {
+    pub fn inject(&mut self, n: usize, trouble: Fault) {
         let node = &mut self.nodes[n];
         match trouble {
-            Trouble::Crash => node.runs = None,
-            Trouble::Forget => {
+            Fault::Crash => node.runs = None,
+            Fault::LoseDisk => {
                 node.runs = None;
                 let incarnation = node.disk.incarnation;
                 node.disk = Disk { incarnation, ..Disk::default() };
             }
-            Trouble::Pause => node.paused = node.runs.is_some(),
-            Trouble::Heal if node.runs.is_none() => self.start(n),
-            Trouble::Heal => {
+            Fault::Pause => node.paused = node.runs.is_some(),
+            Fault::Recover if node.runs.is_none() => self.start(n),
+            Fault::Recover => {
                 node.paused = false;
                 self.plan_wake(n);
             }
@@ -393,15 +413,15 @@
     }
 
     /// Nothing is cut, lost or late any more, and all run.
-    pub fn heal(&mut self) {
-        self.net = Net { delays: self.net.delays, ..Net::default() };
-        self.dies_written = 0.0;
-        (0..self.count()).for_each(|n| self.befalls(n, Trouble::Heal));
+    pub fn recover_all(&mut self) {
+        self.network = Network { delays: self.network.delays, ..Network::default() };
+        self.crash_after_write = 0.0;
+        (0..self.count()).for_each(|n| self.inject(n, Fault::Recover));
     }
 
     /// Cuts what passes from the one to the other.
-    pub fn cut(&mut self, from: Side, to: Side) {
-        self.net.cuts.insert((from, to));
+    pub fn cut(&mut self, from: Scope, to: Scope) {
+        self.network.cuts.insert((from, to));
     }
 
     /// Proposes something to a keeper; its id.
@@ -409,14 +429,14 @@
         self.proposals += 1;
         let id = self.proposals;
         let (key, by) = (format!("note/{}", id % 5), OPERATOR.to_owned());
-        let (kind, body, why) = (Kind::NOTE, vec![id as u8; 40], String::new());
-        self.propose_this(to, Proposal { id, key, kind, body, by, why, only_after: None });
+        let (kind, body, why) = (RecordKind::NOTE, vec![id as u8; 40], String::new());
+        self.propose_this(to, Proposal { id, key, kind, body, by, why, expected_version: None });
         id
     }
 
     /// Proposes to whoever leads, or to any keeper.
     pub fn propose_anywhere(&mut self) -> u64 {
-        let to = self.leader().unwrap_or_else(|| self.draws.random_range(0..self.keepers()));
+        let to = self.leader().unwrap_or_else(|| self.draws.random_range(0..self.consensus_servers()));
         self.propose(to)
     }
 
@@ -424,7 +444,10 @@
     pub fn propose_this(&mut self, to: usize, proposal: Proposal) {
         let (from, start) = (self.operator.clone(), self.nodes[to].start);
         let at = self.now + Duration::from_micros(500);
-        self.plan(at, Ev::Comes { to, start, from, said: Rc::new(Said::Propose(proposal)), bytes: 200 });
+        self.plan(
+            at,
+            Event::Arrives { to, start, from, message: Rc::new(Message::Propose(proposal)), bytes: 200 },
+        );
     }
 
     /// When something is to happen next, since the start.
@@ -462,7 +485,7 @@
         holds(self)
     }
 
-    fn plan(&mut self, at: Duration, event: Ev) {
+    fn plan(&mut self, at: Duration, event: Event) {
         self.planned += 1;
         self.queue.push(Reverse((at, self.planned)));
         self.events.insert(self.planned, event);
@@ -475,8 +498,8 @@
         let at = match &node.runs {
             None => return,
             // Keepers are ticked by their host, evenly.
-            Some(Runs::Keeper(_)) => now + TICK,
-            Some(Runs::Sidecar(sidecar)) => sidecar.side.next().max(now),
+            Some(RunningProcess::ConsensusServer(_)) => now + TICK_INTERVAL,
+            Some(RunningProcess::Sidecar(sidecar)) => sidecar.agent.next_wakeup().max(now),
         };
         // One that is planned early enough looks again by itself.
         if node.wakes_at <= at && node.wakes_at > now {
@@ -485,27 +508,29 @@
         node.wake += 1;
         node.wakes_at = at;
         let wake = node.wake;
-        self.plan(at, Ev::Wake { node: n, wake });
+        self.plan(at, Event::Wake { node: n, wake });
     }
 
-    fn happen(&mut self, event: Ev) {
+    fn happen(&mut self, event: Event) {
         match event {
-            Ev::Comes { to, start, from, said, bytes } => self.comes(to, start, from, said, bytes),
-            Ev::Dealt { to, start, from, said } => self.dealt(to, start, &from, &said),
-            Ev::Wake { node, wake } => self.woken(node, wake),
+            Event::Arrives { to, start, from, message, bytes } => {
+                self.comes(to, start, from, message, bytes)
+            }
+            Event::Processed { to, start, from, message } => self.dealt(to, start, &from, &message),
+            Event::Wake { node, wake } => self.woken(node, wake),
         }
     }
 
     /// It waits for its process, which deals with one after another.
-    fn comes(&mut self, to: usize, start: u32, from: Rc<Who>, said: Rc<Said>, bytes: u64) {
+    fn comes(&mut self, to: usize, start: u32, from: Rc<PeerId>, message: Rc<Message>, bytes: u64) {
         let (now, cost) = (self.now, self.spec.cost);
         let node = &mut self.nodes[to];
         if node.runs.is_none() || node.start != start {
             return;
         }
-        node.traffic.count_received(&said, bytes);
-        if node.waiting >= INBOX_MOST {
-            self.passed.dropped += 1;
+        node.traffic.count_received(&message, bytes);
+        if node.waiting >= MAX_INBOX {
+            self.totals.dropped += 1;
             return;
         }
         let takes = cost.message + cost.kib.mul_f64(bytes as f64 / 1024.0);
@@ -513,10 +538,10 @@
         node.worked += takes;
         node.busy_until = node.busy_until.max(now) + takes;
         let at = node.busy_until;
-        self.plan(at, Ev::Dealt { to, start, from, said });
+        self.plan(at, Event::Processed { to, start, from, message });
     }
 
-    fn dealt(&mut self, to: usize, start: u32, from: &Who, said: &Said) {
+    fn dealt(&mut self, to: usize, start: u32, from: &PeerId, message: &Message) {
         let now = self.now;
         let node = &mut self.nodes[to];
         if node.start != start {
@@ -524,19 +549,20 @@
         }
         if node.paused {
             // It lies there until the process goes on.
-            let (from, said) = (Rc::new(from.clone()), Rc::new(said.clone()));
-            return self.plan(now + TICK, Ev::Dealt { to, start, from, said });
+            let (from, message) = (Rc::new(from.clone()), Rc::new(message.clone()));
+            return self.plan(now + TICK_INTERVAL, Event::Processed { to, start, from, message });
         }
         node.waiting = node.waiting.saturating_sub(1);
         match &mut node.runs {
             None => {}
-            Some(Runs::Keeper(keeping)) => {
-                let outputs = keeping.heard(now, from, said.clone());
-                let dies = self.dies_written > 0.0 && self.draws.random::<f64>() < self.dies_written;
+            Some(RunningProcess::ConsensusServer(server)) => {
+                let outputs = server.handle_message(now, from, message.clone());
+                let dies =
+                    self.crash_after_write > 0.0 && self.draws.random::<f64>() < self.crash_after_write;
                 self.of_keeper(to, outputs, dies);
             }
-            Some(Runs::Sidecar(sidecar)) => {
-                let actions = sidecar.side.heard(now, from, said.clone());
+            Some(RunningProcess::Sidecar(sidecar)) => {
+                let actions = sidecar.agent.handle_message(now, from, message.clone());
                 self.of_sidecar(to, actions);
                 self.plan_wake(to);
             }
@@ -552,12 +578,12 @@
         node.wakes_at = Duration::MAX;
         match &mut node.runs {
             None => return,
-            Some(Runs::Keeper(keeping)) => {
-                let outputs = keeping.tick(now, unix_ms);
+            Some(RunningProcess::ConsensusServer(server)) => {
+                let outputs = server.tick(now, unix_ms);
                 self.of_keeper(n, outputs, false);
             }
-            Some(Runs::Sidecar(sidecar)) => {
-                let actions = sidecar.side.tick(now);
+            Some(RunningProcess::Sidecar(sidecar)) => {
+                let actions = sidecar.agent.tick(now);
                 self.of_sidecar(n, actions);
             }
         }
@@ -566,104 +592,114 @@
 
     /// What a sidecar has seen, or would when all is well: that is told once a second at the most.
     fn tells(&mut self, n: usize) {
-        let (now, hall, halls) = (self.now, self.nodes[n].place.hall, self.spec.halls.len());
+        let (now, zone, zones) = (self.now, self.nodes[n].location.zone, self.spec.zones.len());
         let over = now.saturating_sub(self.nodes[n].told_at);
-        let Some(Runs::Sidecar(sidecar)) = &mut self.nodes[n].runs else { return };
+        let Some(RunningProcess::Sidecar(sidecar)) = &mut self.nodes[n].runs else { return };
         let digest = match self.spec.evidence {
             Evidence::None => None,
-            Evidence::Seen => sidecar.witness.digest(now, sidecar.side.renews()),
+            Evidence::Seen => sidecar.witness.take_digest(now, sidecar.agent.renewal_interval()),
             Evidence::Well if over < Duration::from_secs(1) => None,
             Evidence::Well => {
-                let calls = Calls { served: 3, took_ms: 40, usual_ms: 40, ..Calls::default() };
-                let rows = (0..halls).map(|hall| (hall_name(hall), calls)).collect();
+                let calls = CallCounts { served: 3, took_ms: 40, expected_ms: 40, ..CallCounts::default() };
+                let rows = (0..zones).map(|zone| (zone_name(zone), calls)).collect();
                 (self.nodes[n].told_at, self.nodes[n].sequence) = (now, self.nodes[n].sequence + 1);
                 let (sequence, over_ms) = (self.nodes[n].sequence, over.as_millis() as u32);
                 let at_ms = now.as_millis() as u64;
-                Some(Digest { sequence, at_ms, hall: hall_name(hall), over_ms, rows })
+                Some(Digest {
+                    sequence,
+                    sent_at_ms: at_ms,
+                    zone: zone_name(zone),
+                    interval_ms: over_ms,
+                    calls_by_zone: rows,
+                })
             }
         };
-        let (Some(digest), Some(Runs::Sidecar(sidecar))) = (digest, &mut self.nodes[n].runs) else {
+        let (Some(digest), Some(RunningProcess::Sidecar(sidecar))) = (digest, &mut self.nodes[n].runs)
+        else {
             return;
         };
-        let actions = sidecar.side.tell(now, &digest);
+        let actions = sidecar.agent.report_evidence(now, &digest);
         self.of_sidecar(n, actions);
     }
 
     /// What a sidecar holds is acted on: in the model its disk takes no time.
     fn act(&mut self, n: usize) {
         let now = self.now;
-        let Some(Runs::Sidecar(sidecar)) = &mut self.nodes[n].runs else { return };
-        sidecar.acted.take(sidecar.side.agent.view(), |record| match record.proposal.kind {
-            Kind::PLACE | Kind::FREEZE => {
-                places::check(record).map_err(|why| NotTaken::Senseless(why.to_string()))
+        let Some(RunningProcess::Sidecar(sidecar)) = &mut self.nodes[n].runs else { return };
+        sidecar.acted.apply(sidecar.agent.client.view(), |record| match record.proposal.kind {
+            RecordKind::ZONE_STATES | RecordKind::FREEZE => {
+                zone_states::check(record).map_err(|why| RecordRejection::Invalid(why.to_string()))
             }
-            _ => curlewhub_fleet::acted::check(record),
+            _ => curlewhub_control_plane::applied::check(record),
         });
-        let actions = sidecar.side.acts(now, &sidecar.acted);
+        let actions = sidecar.agent.apply(now, &sidecar.acted);
         self.of_sidecar(n, actions);
     }
 
     /// Writes what a keeper wants kept, and only then says what it says; it may die between.
-    fn of_keeper(&mut self, n: usize, outputs: Vec<seat::Output>, dies: bool) {
+    fn of_keeper(&mut self, n: usize, outputs: Vec<consensus_server::Output>, dies: bool) {
         let (now, name) = (self.now, self.nodes[n].name.clone());
         for output in &outputs {
-            self.nodes[n].disk.kept.take(&output.keeper.persist);
-            for record in &output.keeper.applied {
-                self.rules.applied(now, &name, record);
+            self.nodes[n].disk.kept.apply(&output.replica.writes);
+            for record in &output.replica.applied {
+                self.invariants.applied(now, &name, record);
             }
-            if let Some(incarnation) = output.outlives {
+            if let Some(incarnation) = output.raised_incarnation {
                 self.nodes[n].disk.incarnation = incarnation;
             }
         }
-        if let Some(Runs::Keeper(keeping)) = &mut self.nodes[n].runs {
+        if let Some(RunningProcess::ConsensusServer(server)) = &mut self.nodes[n].runs {
             let since = now - EPOCH;
-            self.moves.extend(std::mem::take(&mut keeping.moves).into_iter().map(|moved| (since, moved)));
+            self.transitions
+                .extend(std::mem::take(&mut server.transitions).into_iter().map(|moved| (since, moved)));
         }
-        let ends = self.keeping(n).and_then(Keeping::ends).is_some();
+        let ends = self.server(n).and_then(ControlServer::fatal_error).is_some();
         if dies || ends {
             self.nodes[n].runs = None;
             return;
         }
         let from = self.who(n);
-        for seat::Output { keeper, whispers, .. } in outputs {
-            for (to, bytes) in keeper.agreement {
-                self.say(n, to as usize - 1, &from, Said::Agreement(bytes), true);
+        for consensus_server::Output { replica: keeper, datagrams: whispers, .. } in outputs {
+            for (to, bytes) in keeper.raft_messages {
+                self.say(n, to as usize - 1, &from, Message::Raft(bytes), true);
             }
-            for (to, said) in keeper.said {
-                match (self.numbers.get(&to).copied(), &said) {
-                    (Some(to), _) => self.say(n, to, &from, said, true),
-                    (None, Said::Decided { id, version }) => self.rules.told(*id, *version),
+            for (to, message) in keeper.messages {
+                match (self.numbers.get(&to).copied(), &message) {
+                    (Some(to), _) => self.say(n, to, &from, message, true),
+                    (None, Message::Decided { id, version }) => self.invariants.told(*id, *version),
                     (None, _) => {}
                 }
             }
-            for (to, said) in whispers {
-                self.whisper(n, to, &from, said);
+            for (to, message) in whispers {
+                self.whisper(n, to, &from, message);
             }
         }
     }
 
-    fn of_sidecar(&mut self, n: usize, actions: Vec<side::Action>) {
-        let (number, from) = (n - self.keepers(), self.who(n));
+    fn of_sidecar(&mut self, n: usize, actions: Vec<agent::Action>) {
+        let (number, from) = (n - self.consensus_servers(), self.who(n));
         for action in actions {
             match action {
-                side::Action::Fleet(action) => self.of_agent(n, &from, action),
-                side::Action::Halls(part::Action::Rights(rights)) => {
-                    let since_start = |right: Right| match right {
-                        Right::Rate(rate, until) => Right::Rate(rate, until.saturating_sub(EPOCH)),
+                agent::Action::Client(action) => self.of_agent(n, &from, action),
+                agent::Action::Policy(zone_policy::Action::AccessChanged(rights)) => {
+                    let since_start = |right: ZoneAccess| match right {
+                        ZoneAccess::Rate(rate, until) => {
+                            ZoneAccess::Rate(rate, until.saturating_sub(EPOCH))
+                        }
                         right => right,
                     };
                     let rights = rights
                         .iter()
                         .enumerate()
-                        .map(|(hall, (_, right))| (hall, since_start(*right)))
+                        .map(|(zone, (_, right))| (zone, since_start(*right)))
                         .collect();
-                    self.rights.push((number, rights));
+                    self.access.push((number, rights));
                 }
-                side::Action::Halls(part::Action::Probe(hall, count)) => {
-                    let hall = (0..self.spec.halls.len()).find(|known| hall_name(*known) == hall);
-                    self.probes.extend(hall.map(|hall| (number, hall, count)));
+                agent::Action::Policy(zone_policy::Action::Probe(zone, count)) => {
+                    let zone = (0..self.spec.zones.len()).find(|known| zone_name(*known) == zone);
+                    self.probes.extend(zone.map(|zone| (number, zone, count)));
                 }
-                side::Action::Halls(_) => {}
+                agent::Action::Policy(_) => {}
             }
         }
         self.holds(n);
@@ -676,57 +712,57 @@
         if after == before {
             return;
         }
-        let Some(Runs::Sidecar(sidecar)) = &self.nodes[n].runs else { return };
-        let view = sidecar.side.agent.view().clone();
-        self.rules.holds(&self.nodes[n].name, before, after, view.hash());
+        let Some(RunningProcess::Sidecar(sidecar)) = &self.nodes[n].runs else { return };
+        let view = sidecar.agent.client.view().clone();
+        self.invariants.holds(&self.nodes[n].name, before, after, view.hash());
         self.nodes[n].disk.view = view;
-        for (_, (_, decided)) in self.rules.contents.range(before.next()..=after) {
+        for (_, (_, decided)) in self.invariants.contents.range(before.next()..=after) {
             let took = now.saturating_sub(*decided).as_micros() as u64;
-            self.times.record(took);
+            self.latencies.record(took);
         }
         self.act(n);
     }
 
-    fn of_agent(&mut self, n: usize, from: &Rc<Who>, action: agent::Action) {
+    fn of_agent(&mut self, n: usize, from: &Rc<PeerId>, action: client::Action) {
         match action {
-            agent::Action::Say(to, at, said) => {
+            client::Action::Send(to, at, message) => {
                 let by_at = at.and_then(|at| self.ats.get(&at).copied());
                 if let Some(to) = self.numbers.get(&to).copied().or(by_at) {
-                    self.say(n, to, from, said, true);
+                    self.say(n, to, from, message, true);
                 }
             }
-            agent::Action::Whisper(to, said) => self.whisper(n, to, from, said),
-            agent::Action::Outlives(incarnation) => self.nodes[n].disk.incarnation = incarnation,
-            agent::Action::Tell => self.tells(n),
+            client::Action::SendDatagram(to, message) => self.whisper(n, to, from, message),
+            client::Action::IncarnationRaised(incarnation) => self.nodes[n].disk.incarnation = incarnation,
+            client::Action::ReportEvidence => self.tells(n),
             _ => {}
         }
     }
 
-    fn who(&self, n: usize) -> Rc<Who> {
+    fn who(&self, n: usize) -> Rc<PeerId> {
         let node = &self.nodes[n];
-        Rc::new(Who { name: node.name.clone(), incarnation: node.disk.incarnation })
+        Rc::new(PeerId { name: node.name.clone(), incarnation: node.disk.incarnation })
     }
 
-    fn whisper(&mut self, from: usize, to: SocketAddr, who: &Rc<Who>, said: Said) {
+    fn whisper(&mut self, from: usize, to: SocketAddr, who: &Rc<PeerId>, message: Message) {
         if let Some(to) = self.ats.get(&to).copied() {
-            self.say(from, to, who, said, false);
+            self.say(from, to, who, message, false);
         }
     }
 
-    fn say(&mut self, from: usize, to: usize, who: &Rc<Who>, said: Said, stream: bool) {
+    fn say(&mut self, from: usize, to: usize, who: &Rc<PeerId>, message: Message, stream: bool) {
         if to >= self.nodes.len() {
             return;
         }
-        let words = size(who, &said);
-        let bytes = words + FRAME;
-        self.passed.messages += 1;
-        self.passed.bytes += bytes;
-        self.nodes[from].traffic.count_sent(&said, bytes);
-        let (here, there) = (self.nodes[from].place, self.nodes[to].place);
-        let copies = self.net.copies(&here, &there, &mut self.draws);
-        let (said, start) = (Rc::new(said), self.nodes[to].start);
+        let words = size(who, &message);
+        let bytes = words + FRAME_OVERHEAD_BYTES;
+        self.totals.messages += 1;
+        self.totals.bytes += bytes;
+        self.nodes[from].traffic.count_sent(&message, bytes);
+        let (here, there) = (self.nodes[from].location, self.nodes[to].location);
+        let copies = self.network.copies(&here, &there, &mut self.draws);
+        let (message, start) = (Rc::new(message), self.nodes[to].start);
         // What breaks streams breaks their order too.
-        let ordered = stream && self.net.late.is_zero();
+        let ordered = stream && self.network.extra_delay.is_zero();
         for after in copies {
             let mut at = self.now + after;
             if ordered {
@@ -734,8 +770,8 @@
                 at = at.max(*last);
                 *last = at;
             }
-            let (from, said) = (who.clone(), said.clone());
-            self.plan(at, Ev::Comes { to, start, from, said, bytes });
+            let (from, message) = (who.clone(), message.clone());
+            self.plan(at, Event::Arrives { to, start, from, message, bytes });
         }
     }
 
@@ -764,16 +800,20 @@
     /// # Errors
     /// It does not lead, or the change makes no sense.
     pub fn change(&mut self, leader: usize, keeper: u64, add: bool) -> Result<(), String> {
-        let Some(Runs::Keeper(keeping)) = &mut self.nodes[leader].runs else {
+        let Some(RunningProcess::ConsensusServer(server)) = &mut self.nodes[leader].runs else {
             return Err("it is no keeper that runs".to_owned());
         };
-        let keeper = keeping.seat.keeper.change(keeper, add).map_err(|e| e.to_string())?;
-        self.of_keeper(leader, vec![seat::Output { keeper, ..seat::Output::default() }], false);
+        let keeper = server.consensus.replica.change_voters(keeper, add).map_err(|e| e.to_string())?;
+        self.of_keeper(
+            leader,
+            vec![consensus_server::Output { replica: keeper, ..consensus_server::Output::default() }],
+            false,
+        );
         Ok(())
     }
 }
 
 /// As a message of the two.
-fn size(who: &Who, said: &Said) -> u64 {
-    postcard::experimental::serialized_size(&(who, said)).unwrap_or_default() as u64
+fn size(who: &PeerId, message: &Message) -> u64 {
+    postcard::experimental::serialized_size(&(who, message)).unwrap_or_default() as u64
 }
--- a/crates/fleet-model/src/lib.rs
+++ b/crates/control-plane-model/src/lib.rs
@@ -5,24 +5,24 @@
 //! may crash, forget, stand still or be cut off at any moment. What must always hold is looked at in every step.
 //!
 //! ```
-//! use curlewhub_fleet_model::{Fleet, Spec};
+//! use curlewhub_control_plane_model::{Fleet, SimulationSpec};
 //! use std::time::Duration;
 //!
-//! let mut fleet = Fleet::new(Spec::small(3, 4), 7);
+//! let mut fleet = Fleet::new(SimulationSpec::small(3, 4), 7);
 //! fleet.run(Duration::from_secs(3));
 //! let id = fleet.propose_anywhere();
 //! fleet.run(Duration::from_secs(1));
-//! assert!(fleet.rules.decided.contains_key(&id) && fleet.rules.broken.is_empty());
+//! assert!(fleet.invariants.decided.contains_key(&id) && fleet.invariants.violations.is_empty());
 //! ```
 
 mod fleet;
-mod net;
-mod rules;
+mod invariants;
+mod network;
 mod spec;
 mod traffic;
 
-pub use fleet::{Fleet, Trouble, hall_name};
-pub use net::{Delays, Net, Place, Side};
-pub use rules::Rules;
-pub use spec::{Cost, Evidence, Spec};
-pub use traffic::{Passed, Purpose, Times, Traffic};
+pub use fleet::{Fault, Fleet, zone_name};
+pub use invariants::Invariants;
+pub use network::{Delays, Location, Network, Scope};
+pub use spec::{Cost, Evidence, SimulationSpec};
+pub use traffic::{LatencyHistogram, Purpose, Traffic, TrafficTotals};
--- a/crates/fleet-model/src/net.rs
+++ b/crates/control-plane-model/src/network.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Delays {
     /// Within a hall.
-    pub hall: Duration,
+    pub zone: Duration,
     /// Between halls of one region.
     pub region: Duration,
     /// Between regions.
@@ -21,83 +21,87 @@
 impl Default for Delays {
     fn default() -> Self {
         let us = Duration::from_micros;
-        Delays { hall: us(200), region: us(1000), regions: us(8000), jitter: 0.5 }
+        Delays { zone: us(200), region: us(1000), regions: us(8000), jitter: 0.5 }
     }
 }
 
 /// A place that is cut off, or one that is not reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Side {
+pub enum Scope {
     /// One process, by its number.
     Node(usize),
     /// All of a hall, by its number.
-    Hall(usize),
+    Zone(usize),
 }
 
 /// A process, and where it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// Its number.
     pub node: usize,
     /// Its hall.
-    pub hall: usize,
+    pub zone: usize,
     /// That hall's region.
     pub region: usize,
 }
 
-impl Place {
-    fn is(&self, side: Side) -> bool {
-        match side {
-            Side::Node(node) => node == self.node,
-            Side::Hall(hall) => hall == self.hall,
+impl Location {
+    fn is(&self, agent: Scope) -> bool {
+        match agent {
+            Scope::Node(node) => node == self.node,
+            Scope::Zone(zone) => zone == self.zone,
         }
     }
 }
 
 /// The network.
 #[derive(Clone, Debug, Default)]
-pub struct Net {
+pub struct Network {
     /// Delays.
     pub delays: Delays,
     /// This part of datagrams is lost, and of what is said on streams with a connection that breaks, 0 to 1.
     pub loss: f64,
     /// This part comes twice, where it is not lost.
-    pub twice: f64,
+    pub duplication: f64,
     /// It takes up to this much longer, evenly drawn, so that one overtakes another.
-    pub late: Duration,
+    pub extra_delay: Duration,
     /// Nothing passes from the one to the other.
-    pub cuts: BTreeSet<(Side, Side)>,
+    pub cuts: BTreeSet<(Scope, Scope)>,
     /// Nothing passes the border of these halls: out of them, and into them.
-    pub borders: BTreeSet<(usize, bool)>,
+    pub isolated_zones: BTreeSet<(usize, bool)>,
 }
 
-impl Net {
+impl Network {
     /// Whether nothing passes.
-    pub fn is_cut(&self, from: &Place, to: &Place) -> bool {
-        let crosses = |(hall, out): &(usize, bool)| {
-            let (inside, there) = (from.hall == *hall, to.hall == *hall);
+    pub fn is_cut(&self, from: &Location, to: &Location) -> bool {
+        let crosses = |(zone, out): &(usize, bool)| {
+            let (inside, there) = (from.zone == *zone, to.zone == *zone);
             inside != there && inside == *out
         };
-        self.borders.iter().any(crosses) || self.cuts.iter().any(|(a, b)| from.is(*a) && to.is(*b))
+        self.isolated_zones.iter().any(crosses) || self.cuts.iter().any(|(a, b)| from.is(*a) && to.is(*b))
     }
 
     /// When each copy of something comes; none where it is lost.
-    pub fn copies(&self, from: &Place, to: &Place, draws: &mut Pcg32) -> Vec<Duration> {
+    pub fn copies(&self, from: &Location, to: &Location, draws: &mut Pcg32) -> Vec<Duration> {
         if self.is_cut(from, to) || (self.loss > 0.0 && draws.random::<f64>() < self.loss) {
             return Vec::new();
         }
-        let count = 1 + usize::from(self.twice > 0.0 && draws.random::<f64>() < self.twice);
+        let count = 1 + usize::from(self.duplication > 0.0 && draws.random::<f64>() < self.duplication);
         (0..count).map(|_| self.delay(from, to, draws)).collect()
     }
 
-    fn delay(&self, from: &Place, to: &Place, draws: &mut Pcg32) -> Duration {
-        let Delays { hall, region, regions, jitter } = self.delays;
-        let base = match (from.hall == to.hall, from.region == to.region) {
-            (true, _) => hall,
+    fn delay(&self, from: &Location, to: &Location, draws: &mut Pcg32) -> Duration {
+        let Delays { zone, region, regions, jitter } = self.delays;
+        let base = match (from.zone == to.zone, from.region == to.region) {
+            (true, _) => zone,
             (_, true) => region,
             _ => regions,
         };
-        let late = if self.late.is_zero() { Duration::ZERO } else { self.late.mul_f64(draws.random()) };
+        let late = if self.extra_delay.is_zero() {
+            Duration::ZERO
+        } else {
+            self.extra_delay.mul_f64(draws.random())
+        };
         base.mul_f64(1.0 + jitter * draws.random::<f64>()) + late
     }
 }
--- a/crates/fleet-model/src/spec.rs
+++ b/crates/control-plane-model/src/spec.rs
@@ -1,7 +1,7 @@
 //! What a fleet is made of: its zones, its processes, its network at the start and what messages cost.
 
-use crate::net::Net;
-use curlewhub_config::fleet::PlacesConfig;
+use crate::network::Network;
+use curlewhub_config::fleet::ZoneFailoverConfig;
 use std::time::Duration;
 
 /// What dealing with messages costs a process, on a core of its own.
@@ -33,48 +33,53 @@
 
 /// A fleet.
 #[derive(Clone, Debug)]
-pub struct Spec {
+pub struct SimulationSpec {
     /// The halls' regions, by number.
-    pub halls: Vec<usize>,
+    pub zones: Vec<usize>,
     /// The keepers' halls, by number.
-    pub keepers: Vec<usize>,
+    pub consensus_servers: Vec<usize>,
     /// So many of them, the last, are none of the first keepers: they join a fleet that there is, once they are started.
     pub joining: usize,
     /// The sidecars' halls.
     pub sidecars: Vec<usize>,
     /// Sidecars are members too; without, they know nobody but keepers, which saves memory in the largest fleets.
-    pub members: bool,
+    pub membership: bool,
     /// What sidecars tell.
     pub evidence: Evidence,
     /// How halls are left, and returned to.
-    pub rules: PlacesConfig,
+    pub zone_failover: ZoneFailoverConfig,
     /// The network at the start.
-    pub net: Net,
+    pub network: Network,
     /// What messages cost keepers and sidecars.
     pub cost: Cost,
 }
 
-impl Spec {
+impl SimulationSpec {
     /// Keepers in three halls of one region, and sidecars in the same.
-    pub fn small(keepers: usize, sidecars: usize) -> Spec {
+    pub fn small(keepers: usize, sidecars: usize) -> SimulationSpec {
         let turn = |count: usize| (0..count).map(|n| n % 3).collect();
-        Spec {
-            halls: vec![0; 3],
-            keepers: turn(keepers),
+        SimulationSpec {
+            zones: vec![0; 3],
+            consensus_servers: turn(keepers),
             joining: 0,
             sidecars: turn(sidecars),
-            members: true,
+            membership: true,
             evidence: Evidence::None,
-            rules: PlacesConfig::default(),
-            net: Net::default(),
+            zone_failover: ZoneFailoverConfig::default(),
+            network: Network::default(),
             cost: Cost::default(),
         }
     }
 
     /// Halls in regions, keepers in as many different ones as there are, and sidecars in all in turn.
-    pub fn wide(regions: usize, halls_each: usize, keepers: usize, sidecars: usize) -> Spec {
-        let halls: Vec<usize> = (0..regions * halls_each).map(|hall| hall % regions).collect();
-        let turn = |count: usize| (0..count).map(|n| n % halls.len()).collect();
-        Spec { keepers: turn(keepers), sidecars: turn(sidecars), halls, ..Spec::small(0, 0) }
+    pub fn wide(regions: usize, halls_each: usize, keepers: usize, sidecars: usize) -> SimulationSpec {
+        let zones: Vec<usize> = (0..regions * halls_each).map(|zone| zone % regions).collect();
+        let turn = |count: usize| (0..count).map(|n| n % zones.len()).collect();
+        SimulationSpec {
+            consensus_servers: turn(keepers),
+            sidecars: turn(sidecars),
+            zones,
+            ..SimulationSpec::small(0, 0)
+        }
     }
 }
--- a/crates/fleet-model/src/traffic.rs
+++ b/crates/control-plane-model/src/traffic.rs
@@ -1,13 +1,13 @@
 //! What has passed between processes, in all and by process, and how long versions took to spread.
 
-use curlewhub_fleet::wire::Said;
+use curlewhub_control_plane::protocol::Message;
 use hdrhistogram::Histogram;
 use std::ops::Sub;
 use std::time::Duration;
 
 /// What has passed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Passed {
+pub struct TrafficTotals {
     /// Messages.
     pub messages: u64,
     /// Bytes, frames among them.
@@ -18,18 +18,18 @@
 
 /// How long versions took to be held.
 #[derive(Clone, Debug)]
-pub struct Times {
+pub struct LatencyHistogram {
     after: Histogram<u64>,
 }
 
-impl Default for Times {
+impl Default for LatencyHistogram {
     fn default() -> Self {
         let after = Histogram::new_with_bounds(1, 3_600_000_000, 3);
-        Times { after: after.unwrap_or_else(|_| unreachable!("the bounds are sound")) }
+        LatencyHistogram { after: after.unwrap_or_else(|_| unreachable!("the bounds are sound")) }
     }
 }
 
-impl Times {
+impl LatencyHistogram {
     /// A part of all, 0 to 1: within how long they were held.
     pub fn at(&self, q: f64) -> Duration {
         Duration::from_micros(self.after.value_at_quantile(q))
@@ -45,18 +45,18 @@
     }
 }
 
-impl Passed {
+impl TrafficTotals {
     fn add(&mut self, bytes: u64) {
         self.messages += 1;
         self.bytes += bytes;
     }
 }
 
-impl Sub for Passed {
-    type Output = Passed;
+impl Sub for TrafficTotals {
+    type Output = TrafficTotals;
 
-    fn sub(self, before: Passed) -> Passed {
-        Passed {
+    fn sub(self, before: TrafficTotals) -> TrafficTotals {
+        TrafficTotals {
             messages: self.messages - before.messages,
             bytes: self.bytes - before.bytes,
             dropped: self.dropped - before.dropped,
@@ -82,19 +82,26 @@
     pub const ALL: [Purpose; 4] =
         [Purpose::Membership, Purpose::View, Purpose::Evidence, Purpose::Agreement];
 
-    fn of(said: &Said) -> Purpose {
-        match said {
-            Said::Members(_) | Said::ListMembers => Purpose::Membership,
-            Said::Saw(_) | Said::Evidence(_) | Said::Pace { .. } => Purpose::Evidence,
-            Said::ProbeHall { .. } | Said::Granted { .. } | Said::ListHalls => Purpose::Evidence,
-            Said::Have { .. } | Said::Ask { .. } | Said::Records(_) => Purpose::View,
-            Said::Snapshot(_) | Said::Later { .. } | Said::ReportConfig(_) => Purpose::View,
-            Said::Agreement(_) | Said::Propose(_) | Said::Decided { .. } | Said::NotDecided { .. } => {
+    fn of(message: &Message) -> Purpose {
+        match message {
+            Message::Membership(_) | Message::ListMembers => Purpose::Membership,
+            Message::Evidence(_) | Message::LegacyEvidence(_) | Message::SetEvidenceInterval { .. } => {
+                Purpose::Evidence
+            }
+            Message::ProbeZone { .. } | Message::Grant { .. } | Message::ListZones => Purpose::Evidence,
+            Message::ViewVersion { .. } | Message::FetchRecords { .. } | Message::Records(_) => {
+                Purpose::View
+            }
+            Message::Snapshot(_) | Message::RetryAfter { .. } | Message::ReportConfig(_) => Purpose::View,
+            Message::Raft(_)
+            | Message::Propose(_)
+            | Message::Decided { .. }
+            | Message::NotDecided { .. } => Purpose::Agreement,
+            Message::DescribeServer | Message::Described(_) | Message::ChangeVoters { .. } => {
                 Purpose::Agreement
             }
-            Said::Describe | Said::Described(_) | Said::Change { .. } => Purpose::Agreement,
-            Said::Changing | Said::NotChanging(_) => Purpose::Agreement,
-            Said::CommandConfig(_) | Said::DescribeConfig => Purpose::Agreement,
+            Message::VoterChangeStarted | Message::VoterChangeRejected(_) => Purpose::Agreement,
+            Message::CommandConfig(_) | Message::DescribeConfig => Purpose::Agreement,
         }
     }
 }
@@ -102,18 +109,18 @@
 /// What one process has sent and received, by purpose.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Traffic {
-    sent: [Passed; Purpose::ALL.len()],
-    received: [Passed; Purpose::ALL.len()],
+    sent: [TrafficTotals; Purpose::ALL.len()],
+    received: [TrafficTotals; Purpose::ALL.len()],
 }
 
 impl Traffic {
     /// What it has sent for this purpose.
-    pub fn sent(&self, purpose: Purpose) -> Passed {
+    pub fn sent(&self, purpose: Purpose) -> TrafficTotals {
         self.sent[purpose as usize]
     }
 
     /// What has reached it for this purpose, dealt with or dropped.
-    pub fn received(&self, purpose: Purpose) -> Passed {
+    pub fn received(&self, purpose: Purpose) -> TrafficTotals {
         self.received[purpose as usize]
     }
 
@@ -127,12 +134,12 @@
         self.sent.iter().chain(&self.received).map(|passed| passed.messages).sum()
     }
 
-    pub(crate) fn count_sent(&mut self, said: &Said, bytes: u64) {
-        self.sent[Purpose::of(said) as usize].add(bytes);
+    pub(crate) fn count_sent(&mut self, message: &Message, bytes: u64) {
+        self.sent[Purpose::of(message) as usize].add(bytes);
     }
 
-    pub(crate) fn count_received(&mut self, said: &Said, bytes: u64) {
-        self.received[Purpose::of(said) as usize].add(bytes);
+    pub(crate) fn count_received(&mut self, message: &Message, bytes: u64) {
+        self.received[Purpose::of(message) as usize].add(bytes);
     }
 }
 
@@ -140,7 +147,7 @@
     type Output = Traffic;
 
     fn sub(self, before: Traffic) -> Traffic {
-        let difference = |now: [Passed; 4], then: [Passed; 4]| {
+        let difference = |now: [TrafficTotals; 4], then: [TrafficTotals; 4]| {
             std::array::from_fn(|purpose| now[purpose] - then[purpose])
         };
         Traffic {
--- a/crates/fleet-model/tests/rules.rs
+++ b/crates/control-plane-model/tests/invariants.rs
@@ -1,9 +1,9 @@
 //! Small fleets in which everything goes wrong: keepers that crash, forget or pause, sidecars that start again, a network that
 //! loses, repeats, reorders and parts. What must hold is looked at in every step.
 
-use curlewhub_fleet::members::Standing;
-use curlewhub_fleet::record::{Kind, Proposal, Version};
-use curlewhub_fleet_model::{Fleet, Side, Spec, Trouble};
+use curlewhub_control_plane::membership::MemberStatus;
+use curlewhub_control_plane::record::{Proposal, RecordKind, Version};
+use curlewhub_control_plane_model::{Fault, Fleet, Scope, SimulationSpec};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::time::Duration;
@@ -15,42 +15,42 @@
 
 /// Something goes wrong, or is put right. Keepers don't forget: one that has may only come back under another number.
 fn disturb(fleet: &mut Fleet, draws: &mut Pcg32) {
-    let (keepers, all) = (fleet.keepers(), fleet.count());
+    let (keepers, all) = (fleet.consensus_servers(), fleet.count());
     let (keeper, sidecar, any) =
         (draws.random_range(0..keepers), draws.random_range(keepers..all), draws.random_range(0..all));
     match draws.random_range(0..10) {
-        0 => fleet.befalls(keeper, Trouble::Crash),
-        1 => fleet.befalls(keeper, Trouble::Heal),
-        2 => fleet.befalls(any, Trouble::Pause),
+        0 => fleet.inject(keeper, Fault::Crash),
+        1 => fleet.inject(keeper, Fault::Recover),
+        2 => fleet.inject(any, Fault::Pause),
         3 => {
-            fleet.befalls(sidecar, if draws.random() { Trouble::Forget } else { Trouble::Crash });
-            fleet.befalls(sidecar, Trouble::Heal);
+            fleet.inject(sidecar, if draws.random() { Fault::LoseDisk } else { Fault::Crash });
+            fleet.inject(sidecar, Fault::Recover);
         }
-        4 => fleet.befalls(any, Trouble::Heal),
+        4 => fleet.inject(any, Fault::Recover),
         5 | 6 => {
-            let side = |draws: &mut Pcg32| match draws.random::<bool>() {
-                true => Side::Node(draws.random_range(0..all)),
-                false => Side::Hall(draws.random_range(0..3)),
+            let agent = |draws: &mut Pcg32| match draws.random::<bool>() {
+                true => Scope::Node(draws.random_range(0..all)),
+                false => Scope::Zone(draws.random_range(0..3)),
             };
-            let (a, b) = (side(draws), side(draws));
+            let (a, b) = (agent(draws), agent(draws));
             fleet.cut(a, b);
             if draws.random() {
                 fleet.cut(b, a);
             }
         }
-        7 => fleet.net.cuts.clear(),
+        7 => fleet.network.cuts.clear(),
         8 => {
-            (fleet.net.late, fleet.net.twice) =
+            (fleet.network.extra_delay, fleet.network.duplication) =
                 (MS * draws.random_range(0..200), draws.random_range(0.0..0.2))
         }
-        _ => (fleet.net.loss, fleet.dies_written) = (draws.random_range(0.0..0.3), 0.0005),
+        _ => (fleet.network.loss, fleet.crash_after_write) = (draws.random_range(0.0..0.3), 0.0005),
     }
 }
 
 /// From now on nothing goes wrong: all come to one version, on which a new one follows, and nothing is lost.
 fn ends_well(fleet: &mut Fleet) {
     let seed = fleet.seed();
-    fleet.heal();
+    fleet.recover_all();
     fleet.run(HEALS_WITHIN / 2);
     let before = *fleet.versions().last().unwrap();
     assert!(fleet.leader().is_some(), "seed {seed}: nobody leads");
@@ -58,31 +58,31 @@
     fleet.run(HEALS_WITHIN / 2);
     let versions: Vec<Version> = fleet.versions().into_iter().collect();
     assert_eq!(versions, [before.next()], "seed {seed}");
-    fleet.rules.nothing_lost(before.next());
-    assert_eq!(fleet.rules.broken, [""; 0], "seed {seed}");
+    fleet.invariants.nothing_lost(before.next());
+    assert_eq!(fleet.invariants.violations, [""; 0], "seed {seed}");
 }
 
 #[test]
 fn whatever_goes_wrong_there_is_one_content_a_version_nobody_goes_back_and_all_end_alike() {
     let mut decided = 0;
     for seed in 0..60 {
-        let mut fleet = Fleet::new(Spec::small(3 + 2 * (seed as usize % 2), 4), seed);
+        let mut fleet = Fleet::new(SimulationSpec::small(3 + 2 * (seed as usize % 2), 4), seed);
         let mut draws = Pcg32::seed_from_u64(seed);
         fleet.run(SECOND * 2);
         for _ in 0..40 {
             disturb(&mut fleet, &mut draws);
-            let to = draws.random_range(0..fleet.keepers());
+            let to = draws.random_range(0..fleet.consensus_servers());
             fleet.propose(to);
             fleet.run(MS * 400);
         }
         ends_well(&mut fleet);
-        decided += fleet.rules.decided.len();
+        decided += fleet.invariants.decided.len();
     }
     assert!(decided > 400, "{decided}: too little was decided to say anything");
 }
 
 /// A fleet with a leader, and who that is.
-fn led(spec: Spec, seed: u64) -> (Fleet, usize) {
+fn led(spec: SimulationSpec, seed: u64) -> (Fleet, usize) {
     let mut fleet = Fleet::new(spec, seed);
     assert!(fleet.run_until(SECOND * 5, |fleet| fleet.leader().is_some()));
     fleet.run(SECOND);
@@ -93,22 +93,22 @@
 #[test]
 fn a_leader_that_hears_nothing_steps_down_and_one_that_wakes_leads_no_more() {
     for paused in [false, true] {
-        let (mut fleet, leader) = led(Spec::small(3, 2), 7);
+        let (mut fleet, leader) = led(SimulationSpec::small(3, 2), 7);
         if paused {
-            fleet.befalls(leader, Trouble::Pause);
+            fleet.inject(leader, Fault::Pause);
         } else {
             // It sends, and hears nothing.
-            (0..3).filter(|n| *n != leader).for_each(|n| fleet.cut(Side::Node(n), Side::Node(leader)));
+            (0..3).filter(|n| *n != leader).for_each(|n| fleet.cut(Scope::Node(n), Scope::Node(leader)));
         }
         let other = |fleet: &Fleet| fleet.leader().is_some_and(|next| next != leader);
         assert!(fleet.run_until(SECOND * 4, other), "paused {paused}: the others chose nobody");
         let next = fleet.leader().unwrap();
         fleet.propose(next);
         fleet.run(SECOND);
-        assert_eq!(fleet.rules.decided.len(), 1, "paused {paused}");
+        assert_eq!(fleet.invariants.decided.len(), 1, "paused {paused}");
         if paused {
             // It wakes with all that it had planned as a leader.
-            fleet.befalls(leader, Trouble::Heal);
+            fleet.inject(leader, Fault::Recover);
             fleet.propose(leader);
             fleet.run(SECOND);
         }
@@ -120,10 +120,10 @@
 fn in_a_cycle_where_each_sees_one_other_nothing_wrong_is_decided_and_it_ends_well() {
     // By seed, and how many of the three ways round are cut, each one way.
     for seed in 0..12 {
-        let (mut fleet, _) = led(Spec::small(3, 3), seed);
+        let (mut fleet, _) = led(SimulationSpec::small(3, 3), seed);
         // a hears b, b hears c, c hears a, and nothing else passes between keepers.
         for (a, b) in [(0, 1), (1, 2), (2, 0)] {
-            fleet.cut(Side::Node(a), Side::Node(b));
+            fleet.cut(Scope::Node(a), Scope::Node(b));
         }
         for n in 0..40 {
             fleet.propose(n % 3);
@@ -136,51 +136,51 @@
 #[test]
 fn two_of_three_that_see_one_another_decide_whoever_led() {
     for seed in 0..6 {
-        let (mut fleet, leader) = led(Spec::small(3, 3), seed);
+        let (mut fleet, leader) = led(SimulationSpec::small(3, 3), seed);
         let (next, last) = ((leader + 1) % 3, (leader + 2) % 3);
         // The leader is seen by one other, which is seen by both: a chain. The one in its middle reaches a majority.
-        fleet.cut(Side::Node(leader), Side::Node(last));
-        fleet.cut(Side::Node(last), Side::Node(leader));
+        fleet.cut(Scope::Node(leader), Scope::Node(last));
+        fleet.cut(Scope::Node(last), Scope::Node(leader));
         fleet.run(SECOND * 4);
-        let before = fleet.rules.decided.len();
+        let before = fleet.invariants.decided.len();
         for _ in 0..8 {
             fleet.propose(next);
             fleet.run(MS * 500);
         }
-        assert!(fleet.rules.decided.len() > before, "seed {seed}: a majority sees one another");
+        assert!(fleet.invariants.decided.len() > before, "seed {seed}: a majority sees one another");
         ends_well(&mut fleet);
     }
 }
 
 #[test]
 fn without_a_majority_nothing_is_decided_and_sidecars_keep_what_they_have() {
-    let (mut fleet, _) = led(Spec::small(5, 4), 3);
+    let (mut fleet, _) = led(SimulationSpec::small(5, 4), 3);
     for _ in 0..3 {
         fleet.propose_anywhere();
     }
     fleet.run(SECOND * 2);
     let held: Vec<Version> = fleet.versions().into_iter().collect();
     assert_eq!(held, [Version(3)]);
-    (0..3).for_each(|n| fleet.befalls(n, Trouble::Crash));
+    (0..3).for_each(|n| fleet.inject(n, Fault::Crash));
     fleet.propose(4);
     fleet.run(SECOND * 600);
     assert_eq!(fleet.versions().into_iter().collect::<Vec<_>>(), held, "ten minutes change nothing");
     // One that has lost its disk meanwhile is brought up by the others, with no keeper's help.
-    (3..5).for_each(|n| fleet.befalls(n, Trouble::Crash));
-    fleet.befalls(5, Trouble::Forget);
+    (3..5).for_each(|n| fleet.inject(n, Fault::Crash));
+    fleet.inject(5, Fault::LoseDisk);
     fleet.run(SECOND);
-    fleet.befalls(5, Trouble::Heal);
+    fleet.inject(5, Fault::Recover);
     fleet.run(SECOND * 30);
     // Only who is told of somebody can find anybody: its seeds are keepers, and the others found it.
     assert_eq!(fleet.version(5), Version(3));
     let now = fleet.now() + SECOND * 100;
-    assert_eq!(fleet.agent(5).unwrap().age(now), None, "by no keeper's word");
+    assert_eq!(fleet.client(5).unwrap().age(now), None, "by no keeper's word");
     ends_well(&mut fleet);
 }
 
 #[test]
 fn keepers_are_replaced_one_at_a_time_and_a_new_one_gets_all() {
-    let spec = Spec { joining: 1, ..Spec::small(4, 2) };
+    let spec = SimulationSpec { joining: 1, ..SimulationSpec::small(4, 2) };
     let (mut fleet, leader) = led(spec, 11);
     // More than a snapshot's worth, so that the new one can't be given the entries alone.
     for _ in 0..700 {
@@ -190,7 +190,7 @@
     fleet.run(SECOND);
     assert_eq!(fleet.versions().into_iter().collect::<Vec<_>>(), [Version(700)]);
     assert!(fleet.entries(0) < 700, "{} entries are kept: the log does not end", fleet.entries(0));
-    fleet.befalls(3, Trouble::Heal);
+    fleet.inject(3, Fault::Recover);
     fleet.change(leader, 4, true).unwrap();
     fleet.run(SECOND * 3);
     assert_eq!(fleet.version(3), Version(700));
@@ -198,7 +198,7 @@
     let gone = (0..3).find(|n| *n != leader).unwrap();
     fleet.change(leader, gone as u64 + 1, false).unwrap();
     fleet.run(SECOND * 2);
-    fleet.befalls(gone, Trouble::Crash);
+    fleet.inject(gone, Fault::Crash);
     fleet.propose(leader);
     fleet.run(SECOND * 2);
     assert_eq!(fleet.version(3), Version(701));
@@ -208,15 +208,15 @@
 
 #[test]
 fn a_version_of_a_mebibyte_and_a_view_full_of_them_reach_everybody() {
-    let (mut fleet, leader) = led(Spec::small(3, 4), 5);
+    let (mut fleet, leader) = led(SimulationSpec::small(3, 4), 5);
     let large = |id: u64| Proposal {
         id,
         key: format!("plan/{id}"),
-        kind: Kind::NOTE,
+        kind: RecordKind::NOTE,
         body: vec![id as u8; 1 << 20],
         by: "anna".to_owned(),
         why: String::new(),
-        only_after: None,
+        expected_version: None,
     };
     // The last finds no room, and that is said.
     for id in 1000..1017 {
@@ -226,8 +226,8 @@
     fleet.run(SECOND * 4);
     assert_eq!(fleet.versions().into_iter().collect::<Vec<_>>(), [Version(16)]);
     // One that has nothing gets all of it in one message, larger than what a keeper tells in a second.
-    fleet.befalls(6, Trouble::Forget);
-    fleet.befalls(6, Trouble::Heal);
+    fleet.inject(6, Fault::LoseDisk);
+    fleet.inject(6, Fault::Recover);
     fleet.run(SECOND * 8);
     assert_eq!(fleet.version(6), Version(16));
     ends_well(&mut fleet);
@@ -236,12 +236,12 @@
 #[test]
 fn who_is_there_is_known_and_who_is_gone_and_who_came_back() {
     for seed in 0..8 {
-        let mut fleet = Fleet::new(Spec::small(3, 9), seed);
+        let mut fleet = Fleet::new(SimulationSpec::small(3, 9), seed);
         let mut draws = Pcg32::seed_from_u64(seed);
         let counts = |fleet: &Fleet| -> Vec<usize> {
-            let known = |n: &usize| match (fleet.seat(*n), fleet.agent(*n)) {
-                (Some(seat), _) => Some(seat.members().count()),
-                (_, Some(agent)) => agent.members().map(|members| members.count()),
+            let known = |n: &usize| match (fleet.consensus(*n), fleet.client(*n)) {
+                (Some(consensus), _) => Some(consensus.membership().alive_count()),
+                (_, Some(client)) => client.membership().map(|members| members.alive_count()),
                 _ => None,
             };
             (0..fleet.count()).filter_map(|n| known(&n)).collect()
@@ -249,47 +249,47 @@
         let all = |wanted: usize| move |fleet: &Fleet| counts(fleet).iter().all(|count| *count == wanted);
         assert!(fleet.run_until(SECOND * 40, all(11)), "seed {seed}: {:?}", counts(&fleet));
         // A third of datagrams lost has nobody taken for gone: others are asked, and what is suspected answers.
-        fleet.net.loss = 0.1;
+        fleet.network.loss = 0.1;
         fleet.run(SECOND * 20);
-        fleet.net.loss = 0.0;
+        fleet.network.loss = 0.0;
         assert!(fleet.run_until(SECOND * 20, all(11)), "seed {seed}: after losses {:?}", counts(&fleet));
         let gone = draws.random_range(3..12);
-        fleet.befalls(gone, Trouble::Crash);
+        fleet.inject(gone, Fault::Crash);
         assert!(fleet.run_until(SECOND * 15, all(10)), "seed {seed}: {:?}", counts(&fleet));
         let standing = fleet
-            .seat(0)
+            .consensus(0)
             .unwrap()
-            .members()
-            .known()
-            .find(|(m, _)| m.at.ip().is_ipv4() && m.name == format!("sidecar-{}", gone - 3));
-        assert_eq!(standing.map(|(_, standing)| standing), Some(Standing::Gone), "seed {seed}");
+            .membership()
+            .all()
+            .find(|(m, _)| m.address.ip().is_ipv4() && m.name == format!("sidecar-{}", gone - 3));
+        assert_eq!(standing.map(|(_, standing)| standing), Some(MemberStatus::Down), "seed {seed}");
         // It starts again; another is paused for long, is taken for gone, and is back under its own name.
-        fleet.befalls(gone, Trouble::Heal);
+        fleet.inject(gone, Fault::Recover);
         let paused = if gone == 11 { 3 } else { gone + 1 };
-        fleet.befalls(paused, Trouble::Pause);
+        fleet.inject(paused, Fault::Pause);
         fleet.run(SECOND * 15);
-        fleet.befalls(paused, Trouble::Heal);
+        fleet.inject(paused, Fault::Recover);
         assert!(fleet.run_until(SECOND * 30, all(11)), "seed {seed}: {:?}", counts(&fleet));
         // A hall that was cut off for a minute is known again.
-        fleet.net.borders = [(1, true), (1, false)].into();
+        fleet.network.isolated_zones = [(1, true), (1, false)].into();
         fleet.run(SECOND * 60);
-        fleet.net.borders.clear();
+        fleet.network.isolated_zones.clear();
         assert!(fleet.run_until(SECOND * 40, all(11)), "seed {seed}: {:?}", counts(&fleet));
-        assert_eq!(fleet.rules.broken, [""; 0], "seed {seed}");
+        assert_eq!(fleet.invariants.violations, [""; 0], "seed {seed}");
     }
 }
 
 #[test]
 fn one_seed_replays_all() {
     let trace = |seed| {
-        let mut fleet = Fleet::new(Spec::small(3, 3), seed);
+        let mut fleet = Fleet::new(SimulationSpec::small(3, 3), seed);
         let mut draws = Pcg32::seed_from_u64(seed);
         for _ in 0..20 {
             disturb(&mut fleet, &mut draws);
             fleet.propose(0);
             fleet.run(MS * 300);
         }
-        (fleet.planned(), fleet.passed, fleet.rules.decided.clone())
+        (fleet.planned(), fleet.totals, fleet.invariants.decided.clone())
     };
     assert_eq!(trace(5), trace(5));
     assert_ne!(trace(5).0, trace(6).0);
--- a/crates/fleet-node/src/config.rs
+++ b/crates/control-plane-node/src/config.rs
@@ -1,17 +1,17 @@
 //! The keys that a configuration names.
 
-pub use curlewhub_config::fleet::{FleetConfig, KeeperConfig, KeyConfig, PeerConfig};
-use curlewhub_fleet::wire::Keys;
+pub use curlewhub_config::fleet::{ConsensusServerConfig, FleetConfig, KeyConfig, PeerConfig};
+use curlewhub_control_plane::protocol::MacKeys;
 use std::path::Path;
 
 /// The keys, out of their files.
 ///
 /// # Errors
 /// A file can't be read, or holds no key.
-pub fn keys(config: &FleetConfig) -> Result<Keys, String> {
-    let keys = Keys::one(config.key.number, key("key", &config.key.file)?);
+pub fn keys(config: &FleetConfig) -> Result<MacKeys, String> {
+    let keys = MacKeys::single(config.key.number, key("key", &config.key.file)?);
     match &config.other_key {
-        Some(other) => Ok(keys.and(other.number, key("other_key", &other.file)?)),
+        Some(other) => Ok(keys.with(other.number, key("other_key", &other.file)?)),
         None => Ok(keys),
     }
 }
--- a/crates/fleet-node/src/storage.rs
+++ b/crates/control-plane-node/src/storage.rs
@@ -1,8 +1,8 @@
 //! Whether a consensus server's storage keeps what it promises, and when to try again after it has failed.
 
 use crate::store::{Store, StoreError, StoreFile};
-use curlewhub_fleet::keeper::Kept;
-use curlewhub_fleet::seat::Output;
+use curlewhub_control_plane::consensus::PersistedState;
+use curlewhub_control_plane::consensus_server::Output;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -36,7 +36,7 @@
 /// What an attempt to open failed storage has come to.
 pub enum Reopened {
     /// All that is on disk, after so long.
-    Serving(Kept, Duration),
+    Serving(PersistedState, Duration),
     /// It still fails.
     Failing(StoreError),
 }
@@ -52,14 +52,14 @@
     /// # Errors
     /// Nothing of what they say of the consensus may go out.
     pub fn write(&self, outputs: &[Output]) -> Result<(), StoreError> {
-        let persists = outputs.iter().map(|output| &output.keeper.persist);
+        let persists = outputs.iter().map(|output| &output.replica.writes);
         match self {
             Storage::Serving(store) => {
                 persists
                     .filter(|persist| !persist.is_empty())
-                    .try_for_each(|persist| store.keep(persist))?;
+                    .try_for_each(|persist| store.write(persist))?;
                 // For the next start: it must count itself above this one.
-                let outlived = outputs.iter().filter_map(|output| output.outlives);
+                let outlived = outputs.iter().filter_map(|output| output.raised_incarnation);
                 outlived.max().map_or(Ok(()), |incarnation| store.incarnation(incarnation).map(drop))
             }
             Storage::Failed(_) if persists.into_iter().all(|persist| persist.is_empty()) => Ok(()),
@@ -100,9 +100,9 @@
     }
 }
 
-fn reopened(file: &Rc<StoreFile>, id: u64) -> Result<(Store, Kept), StoreError> {
+fn reopened(file: &Rc<StoreFile>, id: u64) -> Result<(Store, PersistedState), StoreError> {
     let store = file.reopen()?;
-    store.is_of(id)?;
-    let kept = store.kept()?.ok_or(StoreError::Spoilt("what it kept"))?;
+    store.claim(id)?;
+    let kept = store.load()?.ok_or(StoreError::Corrupt("what it kept"))?;
     Ok((store, kept))
 }
--- a/crates/fleet-node/src/store.rs
+++ b/crates/control-plane-node/src/store.rs
@@ -1,7 +1,7 @@
 //! What a process of the fleet keeps on disk, in one file of a store that syncs each commit.
 
 use crate::transient::retry_interrupted;
-use curlewhub_fleet::keeper::{Kept, Persist};
+use curlewhub_control_plane::consensus::{PersistedState, WriteBatch};
 use redb::backends::FileBackend;
 use redb::{Builder, Database, DatabaseError, ReadableDatabase, ReadableTable, TableDefinition};
 use std::fs::{File, TryLockError};
@@ -12,7 +12,7 @@
 /// The agreement's entries, by index.
 const ENTRIES: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("entries");
 /// Everything else, by name.
-const REST: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("rest");
+const STATE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("rest");
 const SNAPSHOT: &str = "snapshot";
 const HARD_STATE: &str = "hard state";
 const INCARNATION: &str = "incarnation";
@@ -26,10 +26,10 @@
     Store(#[from] redb::Error),
     /// What it holds is not what was kept.
     #[error("store: {0} can't be read")]
-    Spoilt(&'static str),
+    Corrupt(&'static str),
     /// It is another keeper's.
     #[error("it is the folder of keeper {0}, or a copy of it, and this is keeper {1}")]
-    Others(u64, u64),
+    WrongOwner(u64, u64),
 }
 
 macro_rules! from_parts {
@@ -162,8 +162,8 @@
                 entries.insert(index.value(), bytes.value())?;
             }
         }
-        let mut rest = write.open_table(REST)?;
-        if let Some(table) = present(read.open_table(REST))? {
+        let mut rest = write.open_table(STATE)?;
+        if let Some(table) = present(read.open_table(STATE))? {
             for row in table.iter()? {
                 let (name, bytes) = row?;
                 rest.insert(name.value(), bytes.value())?;
@@ -207,13 +207,13 @@
     ///
     /// # Errors
     /// It is another keeper's, or can't be written.
-    pub fn is_of(&self, id: u64) -> Result<(), StoreError> {
+    pub fn claim(&self, id: u64) -> Result<(), StoreError> {
         let write = self.database.begin_write()?;
         {
-            let mut rest = write.open_table(REST)?;
+            let mut rest = write.open_table(STATE)?;
             let known = rest.get(KEEPER)?.map(|bytes| bytes.value().try_into().map(u64::from_le_bytes));
-            match known.transpose().map_err(|_| StoreError::Spoilt(KEEPER))? {
-                Some(known) if known != id => return Err(StoreError::Others(known, id)),
+            match known.transpose().map_err(|_| StoreError::Corrupt(KEEPER))? {
+                Some(known) if known != id => return Err(StoreError::WrongOwner(known, id)),
                 Some(_) => {}
                 None => drop(rest.insert(KEEPER, &id.to_le_bytes()[..])?),
             }
@@ -227,7 +227,7 @@
     /// # Errors
     /// It can't be read.
     pub fn has_started(&self) -> Result<bool, StoreError> {
-        Ok(self.database.begin_read()?.open_table(REST)?.get(INCARNATION)?.is_some())
+        Ok(self.database.begin_read()?.open_table(STATE)?.get(INCARNATION)?.is_some())
     }
 
     /// One more start of this process: its incarnation, which rises with each. A disk that forgot begins from the clock,
@@ -238,10 +238,10 @@
     pub fn incarnation(&self, unix_ms: u64) -> Result<u64, StoreError> {
         let write = self.database.begin_write()?;
         let incarnation = {
-            let mut rest = write.open_table(REST)?;
+            let mut rest = write.open_table(STATE)?;
             let before =
                 rest.get(INCARNATION)?.map(|bytes| bytes.value().try_into().map(u64::from_le_bytes));
-            let before = before.transpose().map_err(|_| StoreError::Spoilt(INCARNATION))?;
+            let before = before.transpose().map_err(|_| StoreError::Corrupt(INCARNATION))?;
             let incarnation = before.map_or(unix_ms, |before| unix_ms.max(before + 1));
             rest.insert(INCARNATION, &incarnation.to_le_bytes()[..])?;
             incarnation
@@ -254,28 +254,31 @@
     ///
     /// # Errors
     /// It can't be read.
-    pub fn kept(&self) -> Result<Option<Kept>, StoreError> {
+    pub fn load(&self) -> Result<Option<PersistedState>, StoreError> {
         let read = self.database.begin_read()?;
-        let rest = read.open_table(REST)?;
+        let rest = read.open_table(STATE)?;
         let value = |name| Ok::<_, StoreError>(rest.get(name)?.map(|bytes| bytes.value().to_vec()));
-        let mut kept =
-            Kept { snapshot: value(SNAPSHOT)?, hard_state: value(HARD_STATE)?, ..Kept::default() };
+        let mut kept = PersistedState {
+            snapshot: value(SNAPSHOT)?,
+            hard_state: value(HARD_STATE)?,
+            ..PersistedState::default()
+        };
         for entry in read.open_table(ENTRIES)?.iter()? {
             let (index, bytes) = entry?;
             kept.entries.insert(index.value(), bytes.value().to_vec());
         }
-        Ok((kept != Kept::default()).then_some(kept))
+        Ok((kept != PersistedState::default()).then_some(kept))
     }
 
     /// Keeps what a keeper wants kept; synced once this returns.
     ///
     /// # Errors
     /// It is not kept: nothing of the same output may be said.
-    pub fn keep(&self, persist: &Persist) -> Result<(), StoreError> {
+    pub fn write(&self, persist: &WriteBatch) -> Result<(), StoreError> {
         let write = self.database.begin_write()?;
         {
             let mut entries = write.open_table(ENTRIES)?;
-            let mut rest = write.open_table(REST)?;
+            let mut rest = write.open_table(STATE)?;
             if let Some(snapshot) = &persist.snapshot {
                 rest.insert(SNAPSHOT, &snapshot[..])?;
                 if persist.compact.is_none() {
@@ -303,9 +306,9 @@
     ///
     /// # Errors
     /// It is not kept.
-    pub fn begin(&self, kept: &Kept) -> Result<(), StoreError> {
+    pub fn initialize(&self, kept: &PersistedState) -> Result<(), StoreError> {
         let entries = kept.entries.iter().map(|(index, bytes)| (*index, bytes.clone())).collect();
         let (snapshot, hard_state) = (kept.snapshot.clone(), kept.hard_state.clone());
-        self.keep(&Persist { snapshot, entries, hard_state, compact: None })
+        self.write(&WriteBatch { snapshot, entries, hard_state, compact: None })
     }
 }
--- a/crates/fleet-node/src/follower.rs
+++ b/crates/control-plane-node/src/subscriber.rs
@@ -1,27 +1,27 @@
 //! A follower: it holds the view, keeps it on disk, passes it on, and tells keepers what its process sees.
 
 use crate::config::{FleetConfig, keys};
-use crate::kept::ViewFile;
-use crate::links::Links;
 use crate::storage::retry_after;
 use crate::traffic::Traffic;
+use crate::transport::Transport;
+use crate::view_file::ViewFile;
 use curlewhub_config::live;
-use curlewhub_fleet::acted::{Acted, Came, NotTaken};
-use curlewhub_fleet::agent::{Action, Agent, Begin};
-use curlewhub_fleet::configuration::{ConfigNumber, SettingValues};
-use curlewhub_fleet::evidence::Witness;
-use curlewhub_fleet::holder::Counts;
-use curlewhub_fleet::members::{Member, Role};
-use curlewhub_fleet::record::{Hash, Kind, Record};
-use curlewhub_fleet::view::View;
-use curlewhub_fleet::wire::{FORMAT, Said, Who};
-use curlewhub_locality::machine::Moved;
-use curlewhub_locality::part::{self, Part, Right};
-use curlewhub_locality::places;
-use curlewhub_locality::side::{self, Side};
+use curlewhub_control_plane::applied::{AppliedRecords, RecordOutcome, RecordRejection};
+use curlewhub_control_plane::client::{Action, ClientSettings, FleetClient};
+use curlewhub_control_plane::configuration::{ConfigNumber, SettingValues};
+use curlewhub_control_plane::evidence::CallRecorder;
+use curlewhub_control_plane::membership::{Member, Role};
+use curlewhub_control_plane::protocol::{FORMAT, Message, PeerId};
+use curlewhub_control_plane::record::{Hash, Record, RecordKind};
+use curlewhub_control_plane::subscriber::SubscriberCounters;
+use curlewhub_control_plane::view::View;
 use curlewhub_rollout::record::CONFIG;
 use curlewhub_rollout::subscriber::Subscriber;
 use curlewhub_rollout::{self as rollout, settings};
+use curlewhub_zone_failover::agent::{self, Agent};
+use curlewhub_zone_failover::state_machine::Transition;
+use curlewhub_zone_failover::zone_policy::{self, ZoneAccess, ZonePolicy};
+use curlewhub_zone_failover::zone_states;
 use std::cell::RefCell;
 use std::pin::pin;
 use std::rc::Rc;
@@ -34,26 +34,26 @@
 
 /// Connections of peers that it accepts at once, at the most. With those to keepers and peers they come beside the
 /// sidecar's own budget of sockets.
-const ACCEPTED_MOST: usize = 32;
+const MAX_ACCEPTED: usize = 32;
 /// Messages that wait to be dealt with, at the most.
-const INBOX_MOST: usize = 1024;
+const MAX_INBOX: usize = 1024;
 /// What is decided is written down before it is acted on, so that no start goes back behind it; but a disk that takes
 /// longer than this is not waited for.
-const KEEP_MOST: Duration = Duration::from_millis(100);
+const MAX_WRITE_WAIT: Duration = Duration::from_millis(100);
 /// How it stands is told this often, and an address that another process holds is asked for again.
-const TURN: Duration = Duration::from_millis(500);
+const STATUS_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How a follower stands, for whoever reports it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+pub struct SubscriberStatus {
     /// Up to which version it acts.
     pub version: u64,
     /// How long ago a keeper confirmed that; none where none has since the start.
     pub age: Option<Duration>,
     /// What could not be taken.
-    pub counts: Counts,
+    pub counts: SubscriberCounters,
     /// Keys whose newest record is not acted on.
-    pub not_taken: usize,
+    pub rejected_records: usize,
     /// Members that it knows of, itself among them; 0 until it is one.
     pub members: usize,
     /// Bytes that it has said to its fleet, and heard.
@@ -61,27 +61,27 @@
     /// Which configuration is in force.
     pub config: ConfigNumber,
     /// It refuses a newer one.
-    pub refuses_config: bool,
+    pub config_refused: bool,
     /// Configurations that it has refused since its start.
     pub config_refusals: u64,
 }
 
 /// What a follower's process does with it.
-pub trait Acts {
+pub trait ViewHandler {
     /// Whether this build understands a record, and finds it sound: else what held of its key before holds on.
     ///
     /// # Errors
     /// Why it is not acted on.
-    fn check(record: &Record) -> Result<(), NotTaken> {
+    fn check(record: &Record) -> Result<(), RecordRejection> {
         match record.proposal.kind {
-            Kind::PLACE | Kind::FREEZE => {
-                places::check(record).map_err(|why| NotTaken::Senseless(why.to_string()))
+            RecordKind::ZONE_STATES | RecordKind::FREEZE => {
+                zone_states::check(record).map_err(|why| RecordRejection::Invalid(why.to_string()))
             }
-            Kind::CONFIG => {
+            RecordKind::CONFIG => {
                 let read = curlewhub_rollout::record::read(record);
-                read.map(|_| ()).map_err(|why| NotTaken::Senseless(why.to_string()))
+                read.map(|_| ()).map_err(|why| RecordRejection::Invalid(why.to_string()))
             }
-            _ => curlewhub_fleet::acted::check(record),
+            _ => curlewhub_control_plane::applied::check(record),
         }
     }
     /// These settings are to be in force from now on, and no others of the fleet's.
@@ -93,27 +93,27 @@
         if problems.is_empty() { Ok(()) } else { Err(settings::listed(&problems)) }
     }
     /// This is acted on from now on; `hash` is that of its version.
-    fn acts(&mut self, acted: &Acted, hash: Hash);
+    fn view_applied(&mut self, acted: &AppliedRecords, hash: Hash);
     /// This may go into halls from now on; a time of it is on a clock that reads `now`.
-    fn may(&mut self, _now: Duration, _rights: &[(String, Right)]) {}
+    fn zone_access_changed(&mut self, _now: Duration, _rights: &[(String, ZoneAccess)]) {}
     /// A hall is to be probed so often.
-    fn probe(&mut self, _hall: &str, _count: u32) {}
+    fn probe_zone(&mut self, _hall: &str, _count: u32) {}
     /// It stands like this; told every half second.
-    fn stands(&mut self, standing: Standing);
-    /// This went out and came in since the start; told just before [`Acts::stands`].
-    fn carried(&mut self, _traffic: &Traffic) {}
+    fn status_changed(&mut self, status: SubscriberStatus);
+    /// This went out and came in since the start; told just before [`ViewHandler::stands`].
+    fn traffic_counted(&mut self, _traffic: &Traffic) {}
 }
 
 /// How it follows.
 #[derive(Clone, Debug, Default)]
-pub struct Manner {
+pub struct SubscriberOptions {
     /// Another process of the same name may still hold its address, as a sidecar's predecessor does: it follows without
     /// one until it comes free. Else that is an error.
-    pub beside: bool,
+    pub share_address: bool,
     /// What its process sees, if it is to be told, and when the clock of that began.
-    pub witness: Option<(Rc<RefCell<Witness>>, Instant)>,
+    pub recorder: Option<(Rc<RefCell<CallRecorder>>, Instant)>,
     /// The halls that its process calls into: what may go there is told it.
-    pub halls: Vec<String>,
+    pub zones: Vec<String>,
 }
 
 /// The wall clock, as this process is told to read it.
@@ -134,17 +134,17 @@
     Member {
         name: config.name.clone(),
         role,
-        hall: config.hall.clone(),
-        at: config.reached_at(),
+        zone: config.zone.clone(),
+        address: config.reached_at(),
         build: env!("CARGO_PKG_VERSION").to_owned(),
         format: FORMAT,
         incarnation,
-        renewed: 0,
+        rejoins: 0,
     }
 }
 
 /// A view on its way to the disk.
-struct Keeping {
+struct PendingWrite {
     view: View,
     done: JoinHandle<std::io::Result<()>>,
     /// Whatever the disk does, it is acted on from then on.
@@ -166,21 +166,21 @@
     }
 }
 
-struct Follower<'a, A: Acts> {
+struct SubscriberProcess<'a, A: ViewHandler> {
     config: &'a FleetConfig,
-    side: Side,
-    links: Rc<Links>,
+    agent: Agent,
+    transport: Rc<Transport>,
     file: ViewFile,
     listens: bool,
     disk: Disk,
     /// What is being written down, by a thread of its own: no disk holds traffic up.
-    keeping: Option<Keeping>,
+    pending_write: Option<PendingWrite>,
     /// What it acts on.
-    acted: Acted,
+    acted: AppliedRecords,
     /// Its part in rollouts of the configuration.
     subscriber: Subscriber,
     began: Instant,
-    witness: Option<(Rc<RefCell<Witness>>, Instant)>,
+    witness: Option<(Rc<RefCell<CallRecorder>>, Instant)>,
     to: &'a mut A,
 }
 
@@ -188,10 +188,10 @@
 ///
 /// # Errors
 /// What keeps it from starting, by field.
-pub async fn follow(
+pub async fn run_subscriber(
     config: &FleetConfig,
-    manner: Manner,
-    to: &mut impl Acts,
+    options: SubscriberOptions,
+    to: &mut impl ViewHandler,
     leave: impl Future<Output = ()>,
 ) -> Result<(), String> {
     let keys = keys(config)?;
@@ -211,117 +211,121 @@
     });
     let doors = match listen(config).await {
         Ok(doors) => Some(doors),
-        Err(_) if manner.beside => None,
+        Err(_) if options.share_address => None,
         Err(problem) => return Err(problem),
     };
     let keepers: Vec<_> =
-        config.keepers.iter().map(|keeper| (keeper.name.clone(), keeper.address)).collect();
+        config.consensus_servers.iter().map(|keeper| (keeper.name.clone(), keeper.address)).collect();
     let peers = config.peers.iter().map(|peer| (peer.name.clone(), peer.address)).collect();
-    let (inbox, mut heard) = mpsc::channel(INBOX_MOST);
-    let who = Who { name: config.name.clone(), incarnation };
+    let (inbox, mut heard) = mpsc::channel(MAX_INBOX);
+    let who = PeerId { name: config.name.clone(), incarnation };
     let addresses = keepers.iter().cloned().collect();
-    let links = Links::new(ACCEPTED_MOST, who, keys, config.listen.ip(), addresses, inbox);
+    let transport = Transport::new(MAX_ACCEPTED, who, keys, config.listen.ip(), addresses, inbox);
     info!(version = view.version().0, hash = ?view.hash(), incarnation, "fleet: following");
     let own = own(config, Role::Sidecar, incarnation);
-    let mut agent = Agent::new(Begin { own, keepers, peers, view, seed: rand::random() }, Duration::ZERO);
+    let mut client = FleetClient::new(
+        ClientSettings { own, consensus_servers: keepers, peers, view, seed: rand::random() },
+        Duration::ZERO,
+    );
     if by_clock {
-        agent.counts_by_clock();
+        client.counts_by_clock();
     }
-    let part = (!manner.halls.is_empty())
-        .then(|| Part::new(&config.name, &config.hall, manner.halls, config.places.clone()));
-    let side = Side::new(agent, part, Duration::ZERO);
-    let (began, witness, keeping) = (Instant::now(), manner.witness, None);
+    let part = (!options.zones.is_empty())
+        .then(|| ZonePolicy::new(&config.name, &config.zone, options.zones, config.zone_failover.clone()));
+    let agent = Agent::new(client, part, Duration::ZERO);
+    let (began, witness, pending_write) = (Instant::now(), options.recorder, None);
     let disk = if failing { Disk::failed(0) } else { Disk::Keeps };
-    let (acted, subscriber) = (Acted::default(), Subscriber::new(&config.name, &config.hall));
-    let mut follower = Follower {
+    let (acted, subscriber) = (AppliedRecords::default(), Subscriber::new(&config.name, &config.zone));
+    let mut process = SubscriberProcess {
         config,
-        side,
-        links,
+        agent,
+        transport,
         file,
         listens: false,
         disk,
-        keeping,
+        pending_write,
         acted,
         subscriber,
         began,
         witness,
         to,
     };
-    let first = follower.act(&follower.side.agent.view().clone(), true);
-    follower.carry_out(first);
+    let first = process.act(&process.agent.client.view().clone(), true);
+    process.carry_out(first);
     if let Some(doors) = doors {
-        follower.open(doors);
+        process.open(doors);
     }
-    let mut turns = interval(TURN);
+    let mut turns = interval(STATUS_INTERVAL);
     turns.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut leave = pin!(leave);
     loop {
-        let next = tokio::time::Instant::from_std(began + follower.side.next());
-        let late = follower.keeping.as_ref().map_or(next, |keeping| keeping.acts_at);
-        let waits = follower
-            .keeping
+        let next = tokio::time::Instant::from_std(began + process.agent.next_wakeup());
+        let late = process.pending_write.as_ref().map_or(next, |pending_write| pending_write.acts_at);
+        let waits = process
+            .pending_write
             .as_ref()
-            .is_some_and(|keeping| keeping.view.version() > follower.acted.version());
-        let keeps = follower.keeping.is_some();
+            .is_some_and(|pending_write| pending_write.view.version() > process.acted.version());
+        let keeps = process.pending_write.is_some();
         let actions = tokio::select! {
-            () = sleep_until(next) => follower.side.tick(began.elapsed()),
-            Some(message) = heard.recv() => {
-                follower.side.heard(began.elapsed(), &message.from, message.said)
+            () = sleep_until(next) => process.agent.tick(began.elapsed()),
+            Some(envelope) = heard.recv() => {
+                process.agent.handle_message(began.elapsed(), &envelope.from, envelope.message)
             }
-            done = kept(&mut follower.keeping), if keeps => {
-                follower.kept(done)
+            done = kept(&mut process.pending_write), if keeps => {
+                process.kept(done)
             }
-            () = sleep_until(late), if waits => follower.act_late(),
+            () = sleep_until(late), if waits => process.act_late(),
             _ = turns.tick() => {
-                follower.turn().await;
+                process.turn().await;
                 Vec::new()
             }
             () = &mut leave => {
-                let actions = follower.side.agent.leave();
-                follower.carry_out(actions.into_iter().map(side::Action::Fleet).collect());
+                let actions = process.agent.client.leave();
+                process.carry_out(actions.into_iter().map(agent::Action::Client).collect());
                 return Ok(());
             }
         };
-        follower.carry_out(actions);
+        process.carry_out(actions);
     }
 }
 
-impl<A: Acts> Follower<'_, A> {
+impl<A: ViewHandler> SubscriberProcess<'_, A> {
     /// It can be reached from now on.
     fn open(&mut self, (streams, datagrams): (TcpListener, UdpSocket)) {
         self.listens = true;
-        spawn_local(self.links.clone().listen(streams));
-        spawn_local(self.links.clone().overhear(datagrams));
-        self.side.agent.join(self.began.elapsed());
+        spawn_local(self.transport.clone().accept(streams));
+        spawn_local(self.transport.clone().receive_datagrams(datagrams));
+        self.agent.client.join(self.began.elapsed());
     }
 
     /// What is done twice a second.
     async fn turn(&mut self) {
         let now = self.began.elapsed();
-        let version = self.side.agent.view().version().0;
-        let members = self.side.agent.members().map_or(0, |members| members.count() + 1);
-        let traffic = (self.links.traffic.out.get(), self.links.traffic.come.get());
-        self.to.carried(&self.links.traffic);
-        let (age, counts) = (self.side.agent.age(now), self.side.agent.counts());
-        let not_taken = self.acted.not_taken().count();
+        let version = self.agent.client.view().version().0;
+        let members = self.agent.client.membership().map_or(0, |members| members.alive_count() + 1);
+        let traffic =
+            (self.transport.traffic.bytes_sent.get(), self.transport.traffic.bytes_received.get());
+        self.to.traffic_counted(&self.transport.traffic);
+        let (age, counts) = (self.agent.client.age(now), self.agent.client.counters());
+        let not_taken = self.acted.rejected().count();
         let config = self.subscriber.in_force();
         let refuses_config = self.subscriber.refused().is_some();
         let config_refusals = self.subscriber.refusals();
-        self.to.stands(Standing {
+        self.to.status_changed(SubscriberStatus {
             version,
             age,
             counts,
-            not_taken,
+            rejected_records: not_taken,
             members,
             traffic,
             config,
-            refuses_config,
+            config_refused: refuses_config,
             config_refusals,
         });
         self.report_config();
         // What was not kept is written anew, also where nothing new is decided.
         if let Disk::Failing { retry_at, .. } = self.disk
-            && self.keeping.is_none()
+            && self.pending_write.is_none()
             && tokio::time::Instant::now() >= retry_at
         {
             self.keep();
@@ -333,24 +337,24 @@
         }
     }
 
-    fn tell(&mut self) -> Vec<side::Action> {
-        let renews = self.side.renews();
+    fn tell(&mut self) -> Vec<agent::Action> {
+        let renews = self.agent.renewal_interval();
         let digest = self
             .witness
             .as_ref()
-            .and_then(|(witness, began)| witness.borrow_mut().digest(began.elapsed(), renews));
-        digest.map(|digest| self.side.tell(self.began.elapsed(), &digest)).unwrap_or_default()
+            .and_then(|(witness, began)| witness.borrow_mut().take_digest(began.elapsed(), renews));
+        digest.map(|digest| self.agent.report_evidence(self.began.elapsed(), &digest)).unwrap_or_default()
     }
 
-    fn carry_out(&mut self, actions: Vec<side::Action>) {
+    fn carry_out(&mut self, actions: Vec<agent::Action>) {
         let mut changed = false;
         for action in actions {
             match action {
-                side::Action::Fleet(action) => changed |= self.of_fleet(action),
-                side::Action::Halls(action) => self.of_halls(action),
+                agent::Action::Client(action) => changed |= self.of_fleet(action),
+                agent::Action::Policy(action) => self.of_halls(action),
             }
         }
-        if changed && self.keeping.is_none() {
+        if changed && self.pending_write.is_none() {
             self.keep();
         }
     }
@@ -358,36 +362,36 @@
     /// Whether the view is another one now.
     fn of_fleet(&mut self, action: Action) -> bool {
         match action {
-            Action::Say(to, at, said) => self.links.say(&to, at, said),
-            Action::Tell => {
+            Action::Send(to, at, message) => self.transport.send(&to, at, message),
+            Action::ReportEvidence => {
                 let told = self.tell();
                 self.carry_out(told);
             }
-            Action::Whisper(to, said) => self.links.whisper(to, said),
-            Action::Up(member) => {
-                self.links.member(&member.name, Some(member.format));
-                let Member { name, hall, incarnation, .. } = member;
-                debug!(name, hall, incarnation, "fleet: a member is there");
+            Action::SendDatagram(to, message) => self.transport.send_datagram(to, message),
+            Action::Joined(member) => {
+                self.transport.set_peer_format(&member.name, Some(member.format));
+                let Member { name, zone, incarnation, .. } = member;
+                debug!(name, zone, incarnation, "fleet: a member is there");
             }
-            Action::Down(member) => {
-                self.links.member(&member.name, None);
-                let Member { name, hall, incarnation, .. } = member;
-                debug!(name, hall, incarnation, "fleet: a member is gone");
+            Action::Left(member) => {
+                self.transport.set_peer_format(&member.name, None);
+                let Member { name, zone, incarnation, .. } = member;
+                debug!(name, zone, incarnation, "fleet: a member is gone");
             }
-            Action::Outlives(incarnation) => {
+            Action::IncarnationRaised(incarnation) => {
                 info!(
                     incarnation,
                     "fleet: an earlier start counted itself higher; going on by this number"
                 );
-                self.links.is(incarnation);
+                self.transport.set_incarnation(incarnation);
                 let file = self.file.clone();
                 file.counts_by(incarnation); // written with the next view at the latest
                 spawn_blocking(move || file.incarnation(incarnation)); // for the next start; not waited for
             }
-            Action::Renewed => info!("fleet: taken for gone, and back"),
+            Action::Rejoined => info!("fleet: taken for gone, and back"),
             Action::Displaced(by) => {
                 let incarnation = by.incarnation;
-                warn!(incarnation, at = %by.at, "fleet: a later process has this name; following on, and no member");
+                warn!(incarnation, at = %by.address, "fleet: a later process has this name; following on, and no member");
             }
             Action::Applied(record) => {
                 let key = &record.proposal.key;
@@ -402,36 +406,39 @@
         false
     }
 
-    fn of_halls(&mut self, action: part::Action) {
+    fn of_halls(&mut self, action: zone_policy::Action) {
         match action {
-            part::Action::Rights(rights) => {
+            zone_policy::Action::AccessChanged(rights) => {
                 let now = self.began.elapsed();
-                self.to.may(now, &rights);
+                self.to.zone_access_changed(now, &rights);
             }
-            part::Action::Probe(hall, count) => self.to.probe(&hall, count),
-            part::Action::Alone(true) => warn!("fleet: no keeper for long; halls go by own calls"),
-            part::Action::Alone(false) => info!("fleet: halls go by what keepers decide"),
-            part::Action::Moved(Moved { hall, from, to, why }) => {
-                info!(hall, ?from, ?to, why, "fleet: hall moved by own calls");
+            zone_policy::Action::Probe(zone, count) => self.to.probe_zone(&zone, count),
+            zone_policy::Action::Autonomous(true) => {
+                warn!("fleet: no keeper for long; halls go by own calls")
+            }
+            zone_policy::Action::Autonomous(false) => info!("fleet: halls go by what keepers decide"),
+            zone_policy::Action::Transition(Transition { zone, from, to, why }) => {
+                info!(zone, ?from, ?to, why, "fleet: hall moved by own calls");
             }
         }
     }
 
     /// Writes the view down; once that is done, or takes too long, it is acted on.
     fn keep(&mut self) {
-        let (file, view) = (self.file.clone(), self.side.agent.view().clone());
+        let (file, view) = (self.file.clone(), self.agent.client.view().clone());
         let written = view.clone();
-        let done = spawn_blocking(move || file.keep(&written));
-        self.keeping = Some(Keeping { view, done, acts_at: tokio::time::Instant::now() + KEEP_MOST });
+        let done = spawn_blocking(move || file.store(&written));
+        self.pending_write =
+            Some(PendingWrite { view, done, acts_at: tokio::time::Instant::now() + MAX_WRITE_WAIT });
     }
 
     /// The disk takes too long: it is acted on what is being written, and not on what came since, which no disk was handed.
-    fn act_late(&mut self) -> Vec<side::Action> {
-        let view = self.keeping.as_ref().map(|keeping| keeping.view.clone());
+    fn act_late(&mut self) -> Vec<agent::Action> {
+        let view = self.pending_write.as_ref().map(|pending_write| pending_write.view.clone());
         view.map(|view| self.act(&view, false)).unwrap_or_default()
     }
 
-    fn kept(&mut self, done: std::io::Result<()>) -> Vec<side::Action> {
+    fn kept(&mut self, done: std::io::Result<()>) -> Vec<agent::Action> {
         self.disk = match (&done, &self.disk) {
             (Ok(()), Disk::Keeps) => Disk::Keeps,
             (Ok(()), Disk::Failing { .. }) => {
@@ -445,27 +452,27 @@
             }
             (Err(_), Disk::Failing { attempts, .. }) => Disk::failed(*attempts),
         };
-        let Some(keeping) = self.keeping.take() else { return Vec::new() };
-        let actions = self.act(&keeping.view, false);
-        if self.side.agent.view().version() > self.acted.version() {
+        let Some(pending_write) = self.pending_write.take() else { return Vec::new() };
+        let actions = self.act(&pending_write.view, false);
+        if self.agent.client.view().version() > self.acted.version() {
             self.keep();
         }
         actions
     }
 
-    fn act(&mut self, view: &View, first: bool) -> Vec<side::Action> {
+    fn act(&mut self, view: &View, first: bool) -> Vec<agent::Action> {
         if view.version() <= self.acted.version() && !first {
             return Vec::new();
         }
-        for came in self.acted.take(view, A::check) {
-            if let Came::NotTaken(record, why) = came {
+        for came in self.acted.apply(view, A::check) {
+            if let RecordOutcome::RecordRejection(record, why) = came {
                 let (version, key) = (record.version.0, &record.proposal.key);
                 warn!(version, key, %why, "fleet: not acted on");
             }
         }
-        let actions = self.side.acts(self.began.elapsed(), &self.acted);
+        let actions = self.agent.apply(self.began.elapsed(), &self.acted);
         self.configure();
-        self.to.acts(&self.acted, view.hash());
+        self.to.view_applied(&self.acted, view.hash());
         actions
     }
 
@@ -491,16 +498,18 @@
     /// Tells every consensus server what is in force here, where that is new or due again.
     fn report_config(&mut self) {
         let Some(report) = self.subscriber.report(self.began.elapsed()) else { return };
-        for keeper in &self.config.keepers {
-            self.links.say(&keeper.name, None, Said::ReportConfig(report.clone()));
+        for keeper in &self.config.consensus_servers {
+            self.transport.send(&keeper.name, None, Message::ReportConfig(report.clone()));
         }
     }
 }
 
 /// How the write under way has ended.
-async fn kept(keeping: &mut Option<Keeping>) -> std::io::Result<()> {
-    match keeping {
-        Some(keeping) => (&mut keeping.done).await.unwrap_or_else(|e| Err(std::io::Error::other(e))),
+async fn kept(pending_write: &mut Option<PendingWrite>) -> std::io::Result<()> {
+    match pending_write {
+        Some(pending_write) => {
+            (&mut pending_write.done).await.unwrap_or_else(|e| Err(std::io::Error::other(e)))
+        }
         None => std::future::pending().await,
     }
 }
--- a/crates/fleet-node/src/traffic.rs
+++ b/crates/control-plane-node/src/traffic.rs
@@ -1,6 +1,6 @@
 //! What a process says to its fleet and hears from it, counted by kind, and what it lost on the way.
 
-use curlewhub_fleet::wire::Said;
+use curlewhub_control_plane::protocol::Message;
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,25 +18,28 @@
     /// Consensus among the servers.
     Consensus,
     /// Probes and grants for places that return.
-    Places,
+    #[serde(rename = "places")]
+    ZoneFailover,
     /// Calls of operators, and what later builds add.
     Other,
 }
 
 impl MessageKind {
     /// The kind of a message.
-    pub fn of(said: &Said) -> MessageKind {
-        match said {
-            Said::Have { .. }
-            | Said::Ask { .. }
-            | Said::Records(_)
-            | Said::Snapshot(_)
-            | Said::ReportConfig(_)
-            | Said::Later { .. } => MessageKind::View,
-            Said::Evidence(_) | Said::Saw(_) | Said::Pace { .. } => MessageKind::Evidence,
-            Said::Members(_) => MessageKind::Membership,
-            Said::Agreement(_) => MessageKind::Consensus,
-            Said::ProbeHall { .. } | Said::Granted { .. } => MessageKind::Places,
+    pub fn of(message: &Message) -> MessageKind {
+        match message {
+            Message::ViewVersion { .. }
+            | Message::FetchRecords { .. }
+            | Message::Records(_)
+            | Message::Snapshot(_)
+            | Message::ReportConfig(_)
+            | Message::RetryAfter { .. } => MessageKind::View,
+            Message::LegacyEvidence(_) | Message::Evidence(_) | Message::SetEvidenceInterval { .. } => {
+                MessageKind::Evidence
+            }
+            Message::Membership(_) => MessageKind::Membership,
+            Message::Raft(_) => MessageKind::Consensus,
+            Message::ProbeZone { .. } | Message::Grant { .. } => MessageKind::ZoneFailover,
             _ => MessageKind::Other,
         }
     }
@@ -89,39 +92,39 @@
 #[derive(Debug, Default)]
 pub struct Traffic {
     /// Bytes that went out ...
-    pub out: Cell<u64>,
+    pub bytes_sent: Cell<u64>,
     /// ... and came in, whether they could be read or not.
-    pub come: Cell<u64>,
+    pub bytes_received: Cell<u64>,
     flows: RefCell<BTreeMap<MessageKind, Flow>>,
-    lost: RefCell<BTreeMap<Lost, u64>>,
+    count_lost: RefCell<BTreeMap<Lost, u64>>,
 }
 
 impl Traffic {
     /// A message went out, in so many bytes.
-    pub(crate) fn went(&self, said: &Said, bytes: usize) {
-        self.out.set(self.out.get() + bytes as u64);
+    pub(crate) fn count_sent(&self, message: &Message, bytes: usize) {
+        self.bytes_sent.set(self.bytes_sent.get() + bytes as u64);
         let mut flows = self.flows.borrow_mut();
-        let flow = flows.entry(MessageKind::of(said)).or_default();
+        let flow = flows.entry(MessageKind::of(message)).or_default();
         flow.messages_out += 1;
         flow.bytes_out += bytes as u64;
     }
 
     /// So many bytes came in.
-    pub(crate) fn came(&self, bytes: usize) {
-        self.come.set(self.come.get() + bytes as u64);
+    pub(crate) fn count_received_bytes(&self, bytes: usize) {
+        self.bytes_received.set(self.bytes_received.get() + bytes as u64);
     }
 
     /// They were this message.
-    pub(crate) fn read(&self, said: &Said, bytes: usize) {
+    pub(crate) fn count_received(&self, message: &Message, bytes: usize) {
         let mut flows = self.flows.borrow_mut();
-        let flow = flows.entry(MessageKind::of(said)).or_default();
+        let flow = flows.entry(MessageKind::of(message)).or_default();
         flow.messages_in += 1;
         flow.bytes_in += bytes as u64;
     }
 
     /// A message was lost here.
-    pub(crate) fn lost(&self, why: Lost) {
-        *self.lost.borrow_mut().entry(why).or_default() += 1;
+    pub(crate) fn count_lost(&self, why: Lost) {
+        *self.count_lost.borrow_mut().entry(why).or_default() += 1;
     }
 
     /// By kind.
@@ -131,7 +134,7 @@
 
     /// What was lost, by why.
     pub fn losses(&self) -> BTreeMap<Lost, u64> {
-        self.lost.borrow().clone()
+        self.count_lost.borrow().clone()
     }
 
     /// All kinds together.
--- a/crates/fleet-node/src/links.rs
+++ b/crates/control-plane-node/src/transport.rs
@@ -3,7 +3,9 @@
 
 use crate::traffic::{Lost, Traffic};
 use crate::transient::{Uninterrupted, accept_pause, is_interrupted, retry_interrupted};
-use curlewhub_fleet::wire::{Dropped, FORMAT, FORMAT_LEAST, Keys, MESSAGE_MOST, Message, Said, Who};
+use curlewhub_control_plane::protocol::{
+    DecodeError, Envelope, FORMAT, MAX_MESSAGE_BYTES, MIN_FORMAT, MacKeys, Message, PeerId,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -18,64 +20,64 @@
 use tracing::warn;
 
 /// Messages that wait for one peer, at the most; the agreement and holders bear the loss of any.
-const WAITING_MOST: usize = 256;
+const MAX_QUEUED_MESSAGES: usize = 256;
 /// A connection that is not up after this has failed.
-const CONNECT_MOST: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The next one is tried after this.
-const AGAIN: Duration = Duration::from_millis(100);
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// A connection on which nothing has been said either way for this long is closed; who speaks again dials again.
-const IDLE_MOST: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Others that are dialled at once, at the most.
-const DIALLED_MOST: usize = 64;
+const MAX_DIALLED: usize = 64;
 /// A frame that has begun has come whole within this, and a message is taken by its receiver.
-const FRAME_MOST: Duration = Duration::from_secs(10);
+const FRAME_TIMEOUT: Duration = Duration::from_secs(10);
 /// One line a minute of messages that were dropped.
-const TOLD_EVERY: Duration = Duration::from_secs(60);
+const WARNING_INTERVAL: Duration = Duration::from_secs(60);
 /// Who has cut a connection off without a word is spoken to in the older format for this long.
-const OLDER_FOR: Duration = Duration::from_secs(30);
+const OLDER_FORMAT_FOR: Duration = Duration::from_secs(30);
 /// Frames beyond this wait for room, of which there is so much in all: a peer that has shown no key yet can claim any size.
-const LARGE_KIB: usize = 64;
-const LARGE_ALL_KIB: usize = 64 * 1024;
+const LARGE_FRAME_KIB: usize = 64;
+const LARGE_FRAMES_BUDGET_KIB: usize = 64 * 1024;
 /// The largest datagram; a packet of the membership fits with its frame.
-const DATAGRAM_MOST: usize = 1472;
+const MAX_DATAGRAM_BYTES: usize = 1472;
 
 /// Where messages that were heard go.
-pub type Inbox = mpsc::Sender<Message>;
+pub type Inbox = mpsc::Sender<Envelope>;
 
 /// Messages dropped, by why.
 #[derive(Debug, Default)]
-pub struct Drops(RefCell<BTreeMap<Dropped, u64>>, Cell<Option<Instant>>);
+pub struct DroppedMessages(RefCell<BTreeMap<DecodeError, u64>>, Cell<Option<Instant>>);
 
-impl Drops {
-    fn dropped(&self, why: Dropped, from: Option<SocketAddr>) {
+impl DroppedMessages {
+    fn dropped(&self, why: DecodeError, from: Option<SocketAddr>) {
         *self.0.borrow_mut().entry(why).or_default() += 1;
         let now = Instant::now();
-        if self.1.get().is_none_or(|told| now >= told + TOLD_EVERY) {
+        if self.1.get().is_none_or(|told| now >= told + WARNING_INTERVAL) {
             self.1.set(Some(now));
             warn!(?from, %why, all = ?self.counts(), "fleet: a message is dropped");
         }
     }
 
     /// How many, by why.
-    pub fn counts(&self) -> BTreeMap<Dropped, u64> {
+    pub fn counts(&self) -> BTreeMap<DecodeError, u64> {
         self.0.borrow().clone()
     }
 }
 
 /// The way to somebody.
-type Way = mpsc::Sender<Message>;
+type PeerQueue = mpsc::Sender<Envelope>;
 
 /// All connections of a process.
-pub struct Links {
-    who: RefCell<Who>,
-    keys: Keys,
+pub struct Transport {
+    own_id: RefCell<PeerId>,
+    keys: MacKeys,
     /// What is connected and sent from.
     from: IpAddr,
     /// Where keepers are reached, by name.
     addresses: BTreeMap<String, SocketAddr>,
-    dialled: RefCell<HashMap<String, (SocketAddr, Way)>>,
+    dialled: RefCell<HashMap<String, (SocketAddr, PeerQueue)>>,
     /// Who has spoken on a connection that was accepted, and the way back.
-    accepted: RefCell<HashMap<String, Way>>,
+    accepted: RefCell<HashMap<String, PeerQueue>>,
     open: Cell<usize>,
     /// Connections that are accepted at once, at the most.
     accepted_most: usize,
@@ -88,25 +90,25 @@
     datagrams: RefCell<Option<Rc<UdpSocket>>>,
     inbox: Inbox,
     /// Messages that were dropped.
-    pub drops: Drops,
+    pub dropped: DroppedMessages,
     /// What they cost.
     pub traffic: Traffic,
 }
 
-impl Links {
+impl Transport {
     /// None yet.
     pub fn new(
         accepted_most: usize,
-        who: Who,
-        keys: Keys,
+        who: PeerId,
+        keys: MacKeys,
         from: IpAddr,
         addresses: BTreeMap<String, SocketAddr>,
         inbox: Inbox,
-    ) -> Rc<Links> {
+    ) -> Rc<Transport> {
         let (dialled, accepted, open, older, reads, datagrams, drops, traffic) = Default::default();
-        let large = Semaphore::new(LARGE_ALL_KIB);
-        Rc::new(Links {
-            who: RefCell::new(who),
+        let large = Semaphore::new(LARGE_FRAMES_BUDGET_KIB);
+        Rc::new(Transport {
+            own_id: RefCell::new(who),
             keys,
             from,
             addresses,
@@ -119,68 +121,69 @@
             large,
             datagrams,
             inbox,
-            drops,
+            dropped: drops,
             traffic,
         })
     }
 
     /// It counts its own start by this number from now on.
-    pub fn is(&self, incarnation: u64) {
-        self.who.borrow_mut().incarnation = incarnation;
+    pub fn set_incarnation(&self, incarnation: u64) {
+        self.own_id.borrow_mut().incarnation = incarnation;
     }
 
     /// Says something to another one: on a connection of its own where its address is known, else on the one on which
     /// it has spoken. What finds no room is lost.
-    pub fn say(self: &Rc<Self>, to: &str, at: Option<SocketAddr>, said: Said) {
-        let message = Message { from: self.who.borrow().clone(), said };
+    pub fn send(self: &Rc<Self>, to: &str, at: Option<SocketAddr>, message: Message) {
+        let envelope = Envelope { from: self.own_id.borrow().clone(), message };
         let keeper = self.addresses.get(to).copied();
         // Who is no keeper is answered where it has spoken, and dialled only otherwise.
         if keeper.is_none()
             && let Some(way) = self.accepted.borrow().get(to)
         {
-            self.queue(way, message);
+            self.queue(way, envelope);
             return;
         }
         let Some(at) = keeper.or(at) else { return };
         let mut dialled = self.dialled.borrow_mut();
         // A restarted peer may be reached at another address.
         dialled.retain(|name, (known, way)| !way.is_closed() && (name != to || *known == at));
-        if dialled.len() >= DIALLED_MOST && !dialled.contains_key(to) {
-            self.traffic.lost(Lost::DialLimit);
+        if dialled.len() >= MAX_DIALLED && !dialled.contains_key(to) {
+            self.traffic.count_lost(Lost::DialLimit);
             return;
         }
         let (_, way) = dialled.entry(to.to_owned()).or_insert_with(|| {
-            let (way, waiting) = mpsc::channel(WAITING_MOST);
+            let (way, waiting) = mpsc::channel(MAX_QUEUED_MESSAGES);
             let (this, name) = (self.clone(), to.to_owned());
             spawn_local(async move { this.dial(&name, at, waiting).await });
             (at, way)
         });
-        self.queue(way, message);
+        self.queue(way, envelope);
     }
 
-    fn queue(&self, way: &Way, message: Message) {
-        if way.try_send(message).is_err() {
-            self.traffic.lost(Lost::PeerQueueFull);
+    fn queue(&self, way: &PeerQueue, envelope: Envelope) {
+        if way.try_send(envelope).is_err() {
+            self.traffic.count_lost(Lost::PeerQueueFull);
         }
     }
 
     /// Says something in a datagram, once there is a socket for them.
-    pub fn whisper(&self, to: SocketAddr, said: Said) {
+    pub fn send_datagram(&self, to: SocketAddr, message: Message) {
         let Some(socket) = self.datagrams.borrow().clone() else { return };
-        let message = Message { from: self.who.borrow().clone(), said };
-        let bytes = self.keys.write(&message, FORMAT);
-        if bytes.len() <= DATAGRAM_MOST && retry_interrupted(|| socket.try_send_to(&bytes, to)).is_ok() {
-            self.traffic.went(&message.said, bytes.len());
+        let envelope = Envelope { from: self.own_id.borrow().clone(), message };
+        let bytes = self.keys.encode(&envelope, FORMAT);
+        if bytes.len() <= MAX_DATAGRAM_BYTES && retry_interrupted(|| socket.try_send_to(&bytes, to)).is_ok()
+        {
+            self.traffic.count_sent(&envelope.message, bytes.len());
         } else {
-            self.traffic.lost(Lost::DatagramRefused);
+            self.traffic.count_lost(Lost::DatagramRefused);
         }
     }
 
     /// Hears datagrams, until it is dropped.
-    pub async fn overhear(self: Rc<Self>, socket: UdpSocket) {
+    pub async fn receive_datagrams(self: Rc<Self>, socket: UdpSocket) {
         let socket = Rc::new(socket);
         *self.datagrams.borrow_mut() = Some(socket.clone());
-        let mut buffer = vec![0; DATAGRAM_MOST + 1];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let (n, from) = match socket.recv_from(&mut buffer).await {
                 Ok(received) => received,
@@ -193,26 +196,26 @@
                     continue;
                 }
             };
-            self.traffic.came(n);
-            match self.keys.read(&buffer[..n]) {
-                Ok(message) => {
-                    self.traffic.read(&message.said, n);
-                    self.deliver(message);
+            self.traffic.count_received_bytes(n);
+            match self.keys.decode(&buffer[..n]) {
+                Ok(envelope) => {
+                    self.traffic.count_received(&envelope.message, n);
+                    self.deliver(envelope);
                 }
-                Err(why) => self.drops.dropped(why, Some(from)),
+                Err(why) => self.dropped.dropped(why, Some(from)),
             }
         }
     }
 
     /// A process that has too much to do loses a message, as a network would.
-    fn deliver(&self, message: Message) {
-        if self.inbox.try_send(message).is_err() {
-            self.traffic.lost(Lost::InboxFull);
+    fn deliver(&self, envelope: Envelope) {
+        if self.inbox.try_send(envelope).is_err() {
+            self.traffic.count_lost(Lost::InboxFull);
         }
     }
 
     /// A member says what it reads, or is not there any more.
-    pub fn member(&self, name: &str, format: Option<u8>) {
+    pub fn set_peer_format(&self, name: &str, format: Option<u8>) {
         match format {
             Some(format) => drop(self.reads.borrow_mut().insert(name.to_owned(), format)),
             None => drop(self.reads.borrow_mut().remove(name)),
@@ -222,16 +225,16 @@
     /// The format for who has this name: what it has said that it reads, else what it seems to.
     fn format(&self, name: &str) -> u8 {
         if let Some(format) = self.reads.borrow().get(name) {
-            return (*format).clamp(FORMAT_LEAST, FORMAT);
+            return (*format).clamp(MIN_FORMAT, FORMAT);
         }
         let mut older = self.older.borrow_mut();
         let now = Instant::now();
         older.retain(|_, until| now < *until);
-        if older.contains_key(name) { FORMAT_LEAST } else { FORMAT }
+        if older.contains_key(name) { MIN_FORMAT } else { FORMAT }
     }
 
     /// Who has this name writes this format.
-    fn wrote(&self, name: &str, format: u8) {
+    fn peer_wrote(&self, name: &str, format: u8) {
         if format >= FORMAT {
             self.older.borrow_mut().remove(name);
         } else {
@@ -241,26 +244,26 @@
 
     fn is_older(&self, name: &str) {
         let mut older = self.older.borrow_mut();
-        if older.len() < WAITING_MOST || older.contains_key(name) {
-            older.insert(name.to_owned(), Instant::now() + OLDER_FOR);
+        if older.len() < MAX_QUEUED_MESSAGES || older.contains_key(name) {
+            older.insert(name.to_owned(), Instant::now() + OLDER_FORMAT_FOR);
         }
     }
 
     /// Connects as often as it takes, and says what waits, until nothing has for a while.
-    async fn dial(self: Rc<Self>, name: &str, at: SocketAddr, mut waiting: mpsc::Receiver<Message>) {
-        while let Ok(Some(first)) = timeout(IDLE_MOST, waiting.recv()).await {
-            match timeout(CONNECT_MOST, self.connect(at)).await {
+    async fn dial(self: Rc<Self>, name: &str, at: SocketAddr, mut waiting: mpsc::Receiver<Envelope>) {
+        while let Ok(Some(first)) = timeout(IDLE_TIMEOUT, waiting.recv()).await {
+            match timeout(CONNECT_TIMEOUT, self.connect(at)).await {
                 Ok(Ok(stream)) => {
-                    let talk = Talk { name: Some(name), back: None, first: Some(first) };
-                    let heard = self.clone().speak(stream, talk, &mut waiting).await;
+                    let talk = Conversation { name: Some(name), back: None, first: Some(first) };
+                    let heard = self.clone().converse(stream, talk, &mut waiting).await;
                     // A build that reads no newer format cuts off who speaks it, and says nothing.
-                    if heard == Some(false) && self.format(name) > FORMAT_LEAST {
+                    if heard == Some(false) && self.format(name) > MIN_FORMAT {
                         self.is_older(name);
                     }
                 }
                 _ => {
-                    self.traffic.lost(Lost::NotConnected);
-                    sleep(AGAIN).await;
+                    self.traffic.count_lost(Lost::NotConnected);
+                    sleep(RECONNECT_DELAY).await;
                 }
             }
         }
@@ -271,20 +274,20 @@
     }
 
     /// Accepts until it is dropped.
-    pub async fn listen(self: Rc<Self>, listener: TcpListener) {
+    pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, peer)) if self.open.get() < self.accepted_most => {
                     let this = self.clone();
                     spawn_local(async move {
                         this.open.set(this.open.get() + 1);
-                        let (sender, mut waiting) = mpsc::channel(WAITING_MOST);
-                        let talk = Talk { name: None, back: Some((peer, sender)), first: None };
-                        this.clone().speak(stream, talk, &mut waiting).await;
+                        let (sender, mut waiting) = mpsc::channel(MAX_QUEUED_MESSAGES);
+                        let talk = Conversation { name: None, back: Some((peer, sender)), first: None };
+                        this.clone().converse(stream, talk, &mut waiting).await;
                         this.open.set(this.open.get() - 1);
                     });
                 }
-                Ok(_) => self.traffic.lost(Lost::ConnectionLimit), // it is closed, and comes again
+                Ok(_) => self.traffic.count_lost(Lost::ConnectionLimit), // it is closed, and comes again
                 Err(e) => match accept_pause(&e) {
                     Some(pause) => sleep(pause).await,
                     None => yield_now().await,
@@ -295,34 +298,34 @@
 
     /// Both ways of a connection, until one of them ends or nothing has been said for long. Whether anything was heard, where
     /// the other side has ended it.
-    async fn speak(
+    async fn converse(
         self: Rc<Self>,
         stream: TcpStream,
-        talk: Talk<'_>,
-        waiting: &mut mpsc::Receiver<Message>,
+        talk: Conversation<'_>,
+        waiting: &mut mpsc::Receiver<Envelope>,
     ) -> Option<bool> {
         stream.set_nodelay(true).ok()?;
         let (mut from, mut into) = stream.into_split();
-        let Talk { name, back, first } = talk;
+        let Conversation { name, back, first } = talk;
         let (heard, used) = (Cell::new(false), Cell::new(Instant::now()));
         let spoken = RefCell::new(name.map(str::to_owned));
         let format = Cell::new(FORMAT);
         let says = async {
             let mut next = first;
             loop {
-                let message = match next.take() {
-                    Some(message) => message,
+                let envelope = match next.take() {
+                    Some(envelope) => envelope,
                     None => waiting.recv().await.ok_or(io::ErrorKind::BrokenPipe)?,
                 };
                 let format = match name {
                     Some(name) => self.format(name),
                     None => format.get(),
                 };
-                if message.said.since() > format {
+                if envelope.message.min_format() > format {
                     continue; // it would not be understood
                 }
-                let bytes = self.keys.write(&message, format);
-                self.traffic.went(&message.said, bytes.len() + 4);
+                let bytes = self.keys.encode(&envelope, format);
+                self.traffic.count_sent(&envelope.message, bytes.len() + 4);
                 write(&mut into, &bytes).await?;
                 used.set(Instant::now());
             }
@@ -330,37 +333,37 @@
         let hears = async {
             loop {
                 let bytes = read(&mut from, &self.large).await?;
-                self.traffic.came(bytes.len() + 4);
+                self.traffic.count_received_bytes(bytes.len() + 4);
                 used.set(Instant::now());
-                let message = match self.keys.read_format(&bytes) {
-                    Ok((message, written)) => {
+                let envelope = match self.keys.decode_with_format(&bytes) {
+                    Ok((envelope, written)) => {
                         format.set(written);
-                        message
+                        envelope
                     }
                     // A word of a newer build: what comes behind it may be understood.
-                    Err(why @ Dropped::Words) => {
-                        self.drops.dropped(why, back.as_ref().map(|(peer, _)| *peer));
+                    Err(why @ DecodeError::Malformed) => {
+                        self.dropped.dropped(why, back.as_ref().map(|(peer, _)| *peer));
                         continue;
                     }
                     Err(why) => {
-                        self.drops.dropped(why, back.as_ref().map(|(peer, _)| *peer));
+                        self.dropped.dropped(why, back.as_ref().map(|(peer, _)| *peer));
                         return io::Result::<()>::Err(io::ErrorKind::InvalidData.into());
                     }
                 };
                 heard.set(true);
-                self.traffic.read(&message.said, bytes.len() + 4);
-                self.wrote(&message.from.name, format.get());
+                self.traffic.count_received(&envelope.message, bytes.len() + 4);
+                self.peer_wrote(&envelope.from.name, format.get());
                 // One name a connection: what is remembered of it does not grow with what it claims.
                 if let Some((_, sender)) = back.as_ref().filter(|_| spoken.borrow().is_none()) {
-                    *spoken.borrow_mut() = Some(message.from.name.clone());
-                    self.accepted.borrow_mut().insert(message.from.name.clone(), sender.clone());
+                    *spoken.borrow_mut() = Some(envelope.from.name.clone());
+                    self.accepted.borrow_mut().insert(envelope.from.name.clone(), sender.clone());
                 }
-                self.deliver(message);
+                self.deliver(envelope);
             }
         };
         let idle = async {
-            while used.get().elapsed() < IDLE_MOST {
-                sleep(IDLE_MOST - used.get().elapsed().min(IDLE_MOST)).await;
+            while used.get().elapsed() < IDLE_TIMEOUT {
+                sleep(IDLE_TIMEOUT - used.get().elapsed().min(IDLE_TIMEOUT)).await;
             }
         };
         let cut_off = tokio::select! {
@@ -376,10 +379,10 @@
 }
 
 /// What a connection begins with: who is dialled, or who is to be answered.
-struct Talk<'a> {
+struct Conversation<'a> {
     name: Option<&'a str>,
-    back: Option<(SocketAddr, Way)>,
-    first: Option<Message>,
+    back: Option<(SocketAddr, PeerQueue)>,
+    first: Option<Envelope>,
 }
 
 /// Connects from an address of this process's own, by which others may know it.
@@ -411,7 +414,7 @@
         into.write_all(bytes).await?;
         into.flush().await
     };
-    timeout(FRAME_MOST, written).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
+    timeout(FRAME_TIMEOUT, written).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
 }
 
 /// Reads a frame; waits for its beginning as long as it takes, and then for its end for a bounded time.
@@ -421,23 +424,24 @@
 pub async fn read(from: &mut (impl AsyncRead + Unpin), large: &Semaphore) -> io::Result<Vec<u8>> {
     let mut from = Uninterrupted(from);
     let length = from.read_u32().await? as usize;
-    if length > MESSAGE_MOST {
-        return Err(io::Error::new(io::ErrorKind::InvalidData, Dropped::TooLong));
+    if length > MAX_MESSAGE_BYTES {
+        return Err(io::Error::new(io::ErrorKind::InvalidData, DecodeError::TooLong));
     }
     let rest = async {
         let kib = length / 1024;
-        let needs = if kib > LARGE_KIB { kib.min(LARGE_ALL_KIB) as u32 } else { 0 };
+        let needs = if kib > LARGE_FRAME_KIB { kib.min(LARGE_FRAMES_BUDGET_KIB) as u32 } else { 0 };
         let _room = large.acquire_many(needs).await.map_err(io::Error::other)?;
         // As it comes, and not as it is claimed: a claim alone takes no memory.
         let mut bytes = Vec::new();
         from.take(length as u64).read_to_end(&mut bytes).await?;
         Ok::<_, io::Error>(bytes)
     };
-    let bytes = timeout(FRAME_MOST, rest).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
+    let bytes =
+        timeout(FRAME_TIMEOUT, rest).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
     if bytes.len() < length { Err(io::ErrorKind::UnexpectedEof.into()) } else { Ok(bytes) }
 }
 
 /// Room for one large frame, for who has one connection alone.
 pub fn room() -> Semaphore {
-    Semaphore::new(LARGE_ALL_KIB)
+    Semaphore::new(LARGE_FRAMES_BUDGET_KIB)
 }
--- a/crates/fleet-node/src/kept.rs
+++ b/crates/control-plane-node/src/view_file.rs
@@ -4,7 +4,7 @@
 //! successor begin with nothing; so the file is whole at every moment, and only ever replaced by a higher version.
 
 use crate::transient::retry_interrupted;
-use curlewhub_fleet::view::View;
+use curlewhub_control_plane::view::View;
 use serde::{Deserialize, Serialize};
 use std::fs::File;
 use std::io::{self, Write};
@@ -63,7 +63,7 @@
         let (content, rest): (Content, _) =
             postcard::take_from_bytes(&bytes).map_err(|_| spoilt("it is no view"))?;
         // The view's own chain of hashes is its checksum.
-        if rest.is_empty() && content.view.is_sound() {
+        if rest.is_empty() && content.view.is_consistent() {
             Ok(content)
         } else {
             Err(spoilt("it does not hold together"))
@@ -138,7 +138,7 @@
     ///
     /// # Errors
     /// It is not kept.
-    pub fn keep(&self, view: &View) -> io::Result<()> {
+    pub fn store(&self, view: &View) -> io::Result<()> {
         let _lock = self.lock()?;
         let before = self.content_to_replace()?;
         let (incarnation, durable) = {
--- a/crates/fleet-node/tests/storage.rs
+++ b/crates/control-plane-node/tests/storage.rs
@@ -1,10 +1,12 @@
 //! Storage that fails for a time: what a store does then, and what three consensus servers and a follower do on it.
 
-use curlewhub_fleet::keeper::{Keeper, Persist};
-use curlewhub_fleet::record::{Kind, Proposal};
-use curlewhub_fleet::view::View;
-use curlewhub_fleet_node::config::FleetConfig;
-use curlewhub_fleet_node::{OpenDatabase, StoreError, StoreFile, ViewFile, call, keep_with};
+use curlewhub_control_plane::consensus::{Replica, WriteBatch};
+use curlewhub_control_plane::record::{Proposal, RecordKind};
+use curlewhub_control_plane::view::View;
+use curlewhub_control_plane_node::config::FleetConfig;
+use curlewhub_control_plane_node::{
+    OpenDatabase, StoreError, StoreFile, ViewFile, admin_client, keep_with,
+};
 use redb::backends::FileBackend;
 use redb::{BackendError, Builder, StorageBackend};
 use std::cell::RefCell;
@@ -99,8 +101,8 @@
     }
 }
 
-fn entry(index: u64) -> Persist {
-    Persist { entries: vec![(index, vec![index as u8; 3000])], ..Persist::default() }
+fn entry(index: u64) -> WriteBatch {
+    WriteBatch { entries: vec![(index, vec![index as u8; 3000])], ..WriteBatch::default() }
 }
 
 #[test]
@@ -111,26 +113,26 @@
         let path = folder.0.join("keeper.redb");
         let file = StoreFile::claim(&path, failing(&fault)).unwrap();
         let store = file.open_or_create().unwrap();
-        store.begin(&Keeper::first(&[1])).unwrap();
-        (2..20).for_each(|index| store.keep(&entry(index)).unwrap());
-        let kept = store.kept().unwrap().unwrap();
+        store.initialize(&Replica::bootstrap_state(&[1])).unwrap();
+        (2..20).for_each(|index| store.write(&entry(index)).unwrap());
+        let kept = store.load().unwrap().unwrap();
         fault.store(errno, Ordering::SeqCst);
-        let problem = store.keep(&entry(20)).unwrap_err();
+        let problem = store.write(&entry(20)).unwrap_err();
         assert!(problem.is_transient(), "{problem}");
-        assert!(file.reopen().is_err_and(|e| !matches!(e, StoreError::Spoilt(_))), "it still fails");
+        assert!(file.reopen().is_err_and(|e| !matches!(e, StoreError::Corrupt(_))), "it still fails");
         fault.store(0, Ordering::SeqCst);
         // There is room again, and the same store goes on refusing.
-        let refused = store.keep(&entry(20)).unwrap_err();
+        let refused = store.write(&entry(20)).unwrap_err();
         assert!(matches!(refused, StoreError::Store(redb::Error::PreviousIo)), "{refused}");
         drop(store);
         let before = std::fs::metadata(&path).unwrap().ino();
         let store = file.reopen().unwrap();
         assert_ne!(std::fs::metadata(&path).unwrap().ino(), before, "written anew, not only synced again");
-        let mut held = store.kept().unwrap().unwrap();
+        let mut held = store.load().unwrap().unwrap();
         // What was not acknowledged may be there whole, or not at all.
         held.entries.remove(&20).into_iter().for_each(|bytes| assert_eq!(bytes, entry(20).entries[0].1));
         assert_eq!(held, kept);
-        store.keep(&entry(20)).unwrap();
+        store.write(&entry(20)).unwrap();
         // No other process has it, open or closed, and a file that is gone is not made anew.
         drop(store);
         assert!(StoreFile::claim(&path, failing(&fault)).is_err());
@@ -194,10 +196,10 @@
         which.iter().for_each(|n| self.faults[*n].store(errno, Ordering::SeqCst));
     }
 
-    async fn until(&self, what: &str, holds: impl Fn(&[Option<call::Described>]) -> bool) {
+    async fn until(&self, what: &str, holds: impl Fn(&[Option<admin_client::ServerStatus>]) -> bool) {
         let began = Instant::now();
         loop {
-            let described = call::describe(&self.caller).await;
+            let described = admin_client::describe_servers(&self.caller).await;
             let described: Vec<_> = described.into_iter().map(|(_, one)| one.ok()).collect();
             if holds(&described) {
                 return;
@@ -211,7 +213,9 @@
     /// So many of these have stepped down: one that has knows of nothing that is decided.
     async fn until_stepped_down(&self, count: usize, which: &[usize]) {
         self.until("stepped down", |all| {
-            let down = |one: &call::Described| !one.leads && one.leader.is_none() && one.version == 0;
+            let down = |one: &admin_client::ServerStatus| {
+                !one.is_leader && one.leader.is_none() && one.version == 0
+            };
             which.iter().filter(|n| all[**n].as_ref().is_some_and(down)).count() >= count
         })
         .await;
@@ -223,11 +227,11 @@
     Proposal {
         id,
         key,
-        kind: Kind::NOTE,
+        kind: RecordKind::NOTE,
         body,
         by: "test".to_owned(),
         why: String::new(),
-        only_after: None,
+        expected_version: None,
     }
 }
 
@@ -240,7 +244,7 @@
         let all_fail = || servers.faults.iter().all(|fault| fault.load(Ordering::SeqCst) != 0);
         loop {
             let failed = all_fail();
-            if let Ok(version) = call::propose(&servers.caller, &note(id)).await {
+            if let Ok(version) = admin_client::propose(&servers.caller, &note(id)).await {
                 told.borrow_mut().insert(id, (version, failed && all_fail()));
                 break;
             }
@@ -254,7 +258,7 @@
     servers
         .until("all hold all", |all| all.iter().flatten().filter(|one| one.version >= last).count() == 3)
         .await;
-    for (name, described) in call::describe(&servers.caller).await {
+    for (name, described) in admin_client::describe_servers(&servers.caller).await {
         let described = described.unwrap();
         let records: BTreeMap<&str, u64> =
             described.records.iter().map(|record| (&record.key[..], record.version)).collect();
@@ -284,7 +288,7 @@
             // The third may have nothing to write any more: it leads nobody.
             servers.until_stepped_down(2, &[0, 1, 2]).await;
             // They are members of one another all the same.
-            assert!(call::members(&servers.caller).await.unwrap().members.len() == 3);
+            assert!(admin_client::list_members(&servers.caller).await.unwrap().members.len() == 3);
             servers.fail(&[0, 1, 2], 0);
             client.await.unwrap();
         }
@@ -298,8 +302,8 @@
         let (servers, told) = (Rc::new(Servers::new("leader", 20)), Told::default());
         servers.start();
         propose(servers.clone(), told.clone(), 1..5).await;
-        let leads = |all: &[Option<call::Described>]| {
-            all.iter().position(|one| one.as_ref().is_some_and(|one| one.leads))
+        let leads = |all: &[Option<admin_client::ServerStatus>]| {
+            all.iter().position(|one| one.as_ref().is_some_and(|one| one.is_leader))
         };
         let leader = Rc::new(RefCell::new(0));
         let found = leader.clone();
@@ -336,13 +340,13 @@
     std::fs::write(&state, "").unwrap();
     let file = ViewFile::new(&state);
     assert!(file.incarnation(1000).is_err());
-    assert!(file.keep(&View::default()).is_err());
+    assert!(file.store(&View::default()).is_err());
     std::fs::remove_file(&state).unwrap();
     // The view is as new as what is there, and all the same it is not durable yet.
-    file.keep(&View::default()).unwrap();
+    file.store(&View::default()).unwrap();
     let written = std::fs::metadata(state.join("fleet-view.bin")).unwrap().ino();
     assert!(ViewFile::new(&state).has_started().unwrap());
-    file.keep(&View::default()).unwrap();
+    file.store(&View::default()).unwrap();
     assert_eq!(std::fs::metadata(state.join("fleet-view.bin")).unwrap().ino(), written, "once is enough");
     assert!(ViewFile::new(&state).incarnation(500).unwrap() > 1000, "above the start that could not write");
     // What can't be read just now is not taken for nothing and written over.
@@ -350,7 +354,7 @@
     std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o600)).unwrap();
     std::fs::rename(&path, state.join("aside")).unwrap();
     std::fs::create_dir(&path).unwrap();
-    assert!(file.keep(&View::default()).is_err() && file.incarnation(1).is_err());
+    assert!(file.store(&View::default()).is_err() && file.incarnation(1).is_err());
     std::fs::remove_dir(&path).unwrap();
     std::fs::rename(state.join("aside"), &path).unwrap();
     assert!(ViewFile::new(&state).incarnation(1).unwrap() > 1001);
--- a/crates/fleet-node/tests/store.rs
+++ b/crates/control-plane-node/tests/store.rs
@@ -1,11 +1,11 @@
 //! What is kept, over restarts, kills and files that are not what they were.
 
-use curlewhub_fleet::keeper::{Keeper, Kept, Output, TICK};
-use curlewhub_fleet::record::{Kind, Proposal, Record, Version};
-use curlewhub_fleet::view::View;
-use curlewhub_fleet::wire::{Said, Who};
-use curlewhub_fleet_node::config::{FleetConfig, keys};
-use curlewhub_fleet_node::{Store, StoreError, ViewFile};
+use curlewhub_control_plane::consensus::{Output, PersistedState, Replica, TICK_INTERVAL};
+use curlewhub_control_plane::protocol::{Message, PeerId};
+use curlewhub_control_plane::record::{Proposal, Record, RecordKind, Version};
+use curlewhub_control_plane::view::View;
+use curlewhub_control_plane_node::config::{FleetConfig, keys};
+use curlewhub_control_plane_node::{Store, StoreError, ViewFile};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -30,51 +30,63 @@
     }
 }
 
-fn proposal(id: u64) -> Said {
+fn proposal(id: u64) -> Message {
     let (key, by, why) = (format!("k{}", id % 7), "test".to_owned(), String::new());
-    Said::Propose(Proposal { id, key, kind: Kind::NOTE, body: vec![1; 50], by, why, only_after: None })
+    Message::Propose(Proposal {
+        id,
+        key,
+        kind: RecordKind::NOTE,
+        body: vec![1; 50],
+        by,
+        why,
+        expected_version: None,
+    })
 }
 
 /// A keeper that is its own majority, with a store under it.
 struct Alone {
-    keeper: Keeper,
+    keeper: Replica,
     store: Store,
     /// What the store should hold.
-    shadow: Kept,
+    shadow: PersistedState,
     now: Duration,
 }
 
 impl Alone {
     fn open(file: &Path) -> Alone {
         let store = Store::open(file).unwrap();
-        let kept = store.kept().unwrap().unwrap_or_else(|| {
-            let first = Keeper::first(&[1]);
-            store.begin(&first).unwrap();
+        let kept = store.load().unwrap().unwrap_or_else(|| {
+            let first = Replica::bootstrap_state(&[1]);
+            store.initialize(&first).unwrap();
             first
         });
-        let keeper = Keeper::new(1, &kept, 5, Duration::ZERO).unwrap();
+        let keeper = Replica::new(1, &kept, 5, Duration::ZERO).unwrap();
         let mut alone = Alone { keeper, store, shadow: kept, now: Duration::ZERO };
-        while !alone.keeper.leads() {
+        while !alone.keeper.is_leader() {
             alone.tick();
         }
         alone
     }
 
     fn tick(&mut self) {
-        self.now += TICK;
+        self.now += TICK_INTERVAL;
         let output = self.keeper.tick(self.now, 0);
         self.keep(&output);
     }
 
     fn keep(&mut self, output: &Output) {
-        self.store.keep(&output.persist).unwrap();
-        self.shadow.take(&output.persist);
+        self.store.write(&output.writes).unwrap();
+        self.shadow.apply(&output.writes);
     }
 
     fn decide(&mut self, id: u64) {
-        let output = self.keeper.heard(&Who { name: "test".to_owned(), incarnation: 1 }, proposal(id));
+        let output =
+            self.keeper.handle_message(&PeerId { name: "test".to_owned(), incarnation: 1 }, proposal(id));
         self.keep(&output);
-        assert!(output.said.iter().any(|(_, said)| matches!(said, Said::Decided { .. })), "{id}");
+        assert!(
+            output.messages.iter().any(|(_, message)| matches!(message, Message::Decided { .. })),
+            "{id}"
+        );
     }
 }
 
@@ -90,7 +102,7 @@
             decided += 1;
             alone.decide(decided);
         }
-        let kept = alone.store.kept().unwrap().unwrap();
+        let kept = alone.store.load().unwrap().unwrap();
         assert_eq!(kept, alone.shadow, "the store holds what it was told to");
         assert!(kept.entries.len() < 650, "{}", kept.entries.len());
         drop(alone);
@@ -129,11 +141,13 @@
     let length = std::fs::metadata(folder.file()).unwrap().len();
     std::fs::File::options().write(true).open(folder.file()).unwrap().set_len(length / 3).unwrap();
     let opened =
-        std::panic::catch_unwind(|| Store::open(&folder.file()).and_then(|store| store.kept()).is_ok());
+        std::panic::catch_unwind(|| Store::open(&folder.file()).and_then(|store| store.load()).is_ok());
     assert!(matches!(opened, Ok(false)), "{opened:?}");
     // What a keeper was promised to keep and is not there is told, not made up.
-    let kept = Kept { hard_state: Some(vec![8, 9, 24, 200, 1]), ..Keeper::first(&[1]) };
-    let missing = Keeper::new(1, &kept, 1, Duration::ZERO).err().map(|e| e.to_string()).unwrap_or_default();
+    let kept =
+        PersistedState { hard_state: Some(vec![8, 9, 24, 200, 1]), ..Replica::bootstrap_state(&[1]) };
+    let missing =
+        Replica::new(1, &kept, 1, Duration::ZERO).err().map(|e| e.to_string()).unwrap_or_default();
     assert!(missing.contains("is decided") || missing.contains("can't be read"), "{missing}");
 }
 
@@ -142,10 +156,17 @@
     let mut view = View::default();
     for version in 1..=versions {
         let (key, by, why) = (format!("k{}", version % 3), "test".to_owned(), String::new());
-        let proposal =
-            Proposal { id: version, key, kind: Kind::NOTE, body: vec![1], by, why, only_after: None };
+        let proposal = Proposal {
+            id: version,
+            key,
+            kind: RecordKind::NOTE,
+            body: vec![1],
+            by,
+            why,
+            expected_version: None,
+        };
         let (before, version) = (view.hash(), Version(version));
-        view.apply(Record { version, term: 1, before, at_ms: 0, proposal }).unwrap();
+        view.apply(Record { version, term: 1, previous_hash: before, at_ms: 0, proposal }).unwrap();
     }
     view
 }
@@ -156,11 +177,11 @@
     let (old, new) = (ViewFile::new(&folder.0), ViewFile::new(&folder.0));
     assert_eq!(old.view().unwrap(), View::default());
     assert_eq!(old.incarnation(1000).unwrap(), 1000);
-    old.keep(&view(15)).unwrap();
+    old.store(&view(15)).unwrap();
     assert_eq!(new.incarnation(900).unwrap(), 1001, "above the one before, whatever the clock says");
     assert_eq!(new.view().unwrap(), view(15), "a successor begins where its predecessor is");
-    new.keep(&view(16)).unwrap();
-    old.keep(&view(15)).unwrap();
+    new.store(&view(16)).unwrap();
+    old.store(&view(15)).unwrap();
     assert_eq!(new.view().unwrap(), view(16));
     // Torn, noise, or of more than one piece: told, and the next view is kept all the same.
     let path = folder.0.join("fleet-view.bin");
@@ -169,7 +190,7 @@
         std::fs::write(&path, bytes).unwrap();
         assert!(new.view().is_err(), "{} bytes", bytes.len());
     }
-    new.keep(&view(17)).unwrap();
+    new.store(&view(17)).unwrap();
     assert_eq!(new.view().unwrap(), view(17));
 }
 
--- a/crates/fleet-node/tests/stored_forms.rs
+++ b/crates/control-plane-node/tests/stored_forms.rs
@@ -1,15 +1,17 @@
 //! Answers to operators and files on disk: the same as commit d7660a1 wrote, read and written.
 
-#[path = "../../fleet/tests/support/fixture.rs"]
+#[path = "../../control-plane/tests/support/fixture.rs"]
 mod fixture;
 
-use curlewhub_fleet::keeper::{Kept, Persist};
-use curlewhub_fleet::members::{Member, Role, Standing};
-use curlewhub_fleet::record::{Hash, Kind, Proposal, Record, Version};
-use curlewhub_fleet::view::View;
-use curlewhub_fleet_node::call::{Described, HallStands, Halls, Known, Line, Listed};
-use curlewhub_fleet_node::{Flow, Lost, MessageKind, Store, ViewFile};
-use curlewhub_locality::places::State;
+use curlewhub_control_plane::consensus::{PersistedState, WriteBatch};
+use curlewhub_control_plane::membership::{Member, MemberStatus, Role};
+use curlewhub_control_plane::record::{Hash, Proposal, Record, RecordKind, Version};
+use curlewhub_control_plane::view::View;
+use curlewhub_control_plane_node::admin_client::{
+    MemberEntry, MemberList, RecordSummary, ServerStatus, ZoneList, ZoneStatus,
+};
+use curlewhub_control_plane_node::{Flow, Lost, MessageKind, Store, ViewFile};
+use curlewhub_zone_failover::zone_states::ZoneState;
 use fixture::{assert_same, hex, unhex, values};
 use redb::{ReadableDatabase, ReadableTable, ReadableTableMetadata, TableDefinition, TableHandle};
 use serde::{Serialize, de::DeserializeOwned};
@@ -22,13 +24,13 @@
     let proposal = Proposal {
         id: 9,
         key: format!("key/{version}"),
-        kind: Kind::PLACE,
+        kind: RecordKind::ZONE_STATES,
         body: b"{\"a\":1}".to_vec(),
         by: "operator-a".to_owned(),
         why: "a reason".to_owned(),
-        only_after: Some(Version(4)),
+        expected_version: Some(Version(4)),
     };
-    Record { version: Version(version), term: 7, before, at_ms: 1_700_000_000_123, proposal }
+    Record { version: Version(version), term: 7, previous_hash: before, at_ms: 1_700_000_000_123, proposal }
 }
 
 fn view() -> View {
@@ -43,7 +45,7 @@
     [(name.to_owned(), n)].into()
 }
 
-fn described() -> Described {
+fn described() -> ServerStatus {
     let lost = [
         Lost::PeerQueueFull,
         Lost::InboxFull,
@@ -57,82 +59,82 @@
         MessageKind::Evidence,
         MessageKind::Membership,
         MessageKind::Consensus,
-        MessageKind::Places,
+        MessageKind::ZoneFailover,
         MessageKind::Other,
     ];
     let flow = |n: u64| Flow { messages_out: n, bytes_out: n + 1, messages_in: n + 2, bytes_in: n + 3 };
-    Described {
+    ServerStatus {
         name: "server-1".to_owned(),
         incarnation: INCARNATION,
-        leads: true,
+        is_leader: true,
         leader: Some("server-2".to_owned()),
         term: 11,
-        keepers: vec![1, 2, 300],
+        voters: vec![1, 2, 300],
         version: 12,
         hash: "abcdef".to_owned(),
-        records: vec![Line::of(&record(12, Hash::default()))],
+        records: vec![RecordSummary::of(&record(12, Hash::default()))],
         sidecars: 13,
         members: 14,
-        said_bytes: 15,
-        heard_bytes: 16,
-        fenced: 17,
-        not_heard: counts("a", 18),
-        put_off: 19,
-        unread: 20,
-        not_taken: counts("b", 21),
+        sent_bytes: 15,
+        received_bytes: 16,
+        fenced_messages: 17,
+        rejected_packets: counts("a", 18),
+        deferred_fetches: 19,
+        malformed_messages: 20,
+        rejected_digests: counts("b", 21),
         dropped: counts("c", 22),
         lost: lost.into_iter().zip(23..).collect(),
         traffic: kinds.into_iter().zip((30..).step_by(10).map(flow)).collect(),
     }
 }
 
-fn listed() -> Listed {
-    let member = |role, standing| Known {
+fn listed() -> MemberList {
+    let member = |role, standing| MemberEntry {
         member: Member {
             name: "sidecar-1".to_owned(),
             role,
-            hall: "zone-a".to_owned(),
-            at: SocketAddr::from(([127, 0, 0, 1], 7001)),
+            zone: "zone-a".to_owned(),
+            address: SocketAddr::from(([127, 0, 0, 1], 7001)),
             build: "1.2.3".to_owned(),
             format: 2,
             incarnation: INCARNATION,
-            renewed: 3,
+            rejoins: 3,
         },
-        standing,
+        status: standing,
     };
     let members = vec![
-        member(Role::Keeper, Standing::There),
-        member(Role::Sidecar, Standing::Suspected),
-        member(Role::Sidecar, Standing::Gone),
+        member(Role::ConsensusServer, MemberStatus::Alive),
+        member(Role::Sidecar, MemberStatus::Suspect),
+        member(Role::Sidecar, MemberStatus::Down),
     ];
-    Listed { by: "server-1".to_owned(), members }
+    MemberList { by: "server-1".to_owned(), members }
 }
 
-fn zones() -> Halls {
-    let zone = |state| HallStands {
+fn zones() -> ZoneList {
+    let zone = |state| ZoneStatus {
         name: "zone-a".to_owned(),
         region: "north".to_owned(),
         state,
         why: "dark".to_owned(),
-        by_hand: true,
+        overridden: true,
         calls_per_s: 1.5,
-        stretch: 2.5,
-        lost: 0.5,
-        bore_per_s: 3.5,
-        most_per_s: 4.5,
+        latency_ratio: 2.5,
+        lost_share: 0.5,
+        baseline_per_s: 3.5,
+        peak_per_s: 4.5,
         granted_per_s: 5.5,
         witnesses: 6,
         losing: 7,
     };
-    let states = [State::Serving, State::Leaving(0.25), State::Left, State::Returning(8.5)];
+    let states = [ZoneState::Serving, ZoneState::Leaving(0.25), ZoneState::Left, ZoneState::Returning(8.5)];
     let way: BTreeMap<String, String> = [("zone-b".to_owned(), "cut".to_owned())].into();
-    Halls {
+    ZoneList {
         by: "server-1".to_owned(),
-        leads: true,
+        is_leader: true,
         version: 12,
-        halls: states.map(zone).to_vec(),
-        cut: [("zone-a".to_owned(), way)].into(),
-        floor: 0.375,
+        zones: states.map(zone).to_vec(),
+        cut_pairs: [("zone-a".to_owned(), way)].into(),
+        min_remaining_capacity: 0.375,
     }
 }
 
@@ -153,9 +155,9 @@
 
 #[test]
 fn answers_of_the_earlier_build_are_read() {
-    assert_eq!(read::<Described>("status"), described());
-    assert_eq!(read::<Listed>("members"), listed());
-    assert_eq!(read::<Halls>("zones"), zones());
+    assert_eq!(read::<ServerStatus>("status"), described());
+    assert_eq!(read::<MemberList>("members"), listed());
+    assert_eq!(read::<ZoneList>("zones"), zones());
 }
 
 #[test]
@@ -163,7 +165,7 @@
     let folder = tempfile::tempdir().unwrap();
     let file = ViewFile::new(folder.path());
     assert_eq!(file.incarnation(INCARNATION).unwrap(), INCARNATION);
-    file.keep(&view()).unwrap();
+    file.store(&view()).unwrap();
     let mut written = vec![("view", hex(&std::fs::read(folder.path().join("fleet-view.bin")).unwrap()))];
     let mut names: Vec<_> =
         std::fs::read_dir(folder.path()).unwrap().map(|e| e.unwrap().file_name()).collect();
@@ -183,9 +185,9 @@
     assert_eq!(file.incarnation(5).unwrap(), INCARNATION + 1);
 }
 
-fn kept() -> Kept {
+fn kept() -> PersistedState {
     let entries = [(5, vec![1, 2, 3]), (6, vec![4]), (300, vec![255; 9])].into();
-    Kept { snapshot: Some(vec![7, 8]), entries, hard_state: Some(vec![9, 10, 11]) }
+    PersistedState { snapshot: Some(vec![7, 8]), entries, hard_state: Some(vec![9, 10, 11]) }
 }
 
 /// All tables of a store, by the store's own library.
@@ -211,11 +213,12 @@
 
 fn write_store(path: &std::path::Path) {
     let store = Store::open(path).unwrap();
-    store.is_of(4).unwrap();
+    store.claim(4).unwrap();
     assert_eq!(store.incarnation(INCARNATION).unwrap(), INCARNATION);
-    let Kept { snapshot, entries, hard_state } = kept();
-    let persist = Persist { snapshot, entries: entries.into_iter().collect(), hard_state, compact: None };
-    store.keep(&persist).unwrap();
+    let PersistedState { snapshot, entries, hard_state } = kept();
+    let persist =
+        WriteBatch { snapshot, entries: entries.into_iter().collect(), hard_state, compact: None };
+    store.write(&persist).unwrap();
 }
 
 #[test]
@@ -246,8 +249,8 @@
     let file = folder.path().join("store.redb");
     std::fs::write(&file, store_file()).unwrap();
     let store = Store::open(&file).unwrap();
-    assert_eq!(store.kept().unwrap(), Some(kept()));
-    store.is_of(4).unwrap();
-    assert!(store.is_of(5).is_err());
+    assert_eq!(store.load().unwrap(), Some(kept()));
+    store.claim(4).unwrap();
+    assert!(store.claim(5).is_err());
     assert_eq!(store.incarnation(5).unwrap(), INCARNATION + 1);
 }
--- a/crates/fleet-node/tests/transient.rs
+++ b/crates/control-plane-node/tests/transient.rs
@@ -1,19 +1,19 @@
 //! System calls that a signal interrupts, or that a limit of the machine refuses for a moment.
 
-use curlewhub_fleet_node::{Uninterrupted, accept_pause};
+use curlewhub_control_plane_node::{Uninterrupted, accept_pause};
 use std::io;
 use std::pin::Pin;
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
 
 /// Each call but every third is interrupted, or all are for the first thousand; a read or write takes two bytes at the most.
-struct Signals<T> {
+struct ZoneSignals<T> {
     inner: T,
     calls: usize,
     storm: usize,
 }
 
-impl<T> Signals<T> {
+impl<T> ZoneSignals<T> {
     fn interrupts(&mut self) -> Option<io::Error> {
         self.calls += 1;
         (self.calls < self.storm || !self.calls.is_multiple_of(3))
@@ -21,7 +21,7 @@
     }
 }
 
-impl<T: AsyncRead + Unpin> AsyncRead for Signals<T> {
+impl<T: AsyncRead + Unpin> AsyncRead for ZoneSignals<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -38,7 +38,7 @@
     }
 }
 
-impl<T: AsyncWrite + Unpin> AsyncWrite for Signals<T> {
+impl<T: AsyncWrite + Unpin> AsyncWrite for ZoneSignals<T> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         if let Some(e) = self.interrupts() {
             return Poll::Ready(Err(e));
@@ -59,16 +59,16 @@
     let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
     runtime.block_on(async {
         for storm in [0, 1000] {
-            let said: Vec<u8> = (0..200).collect();
+            let message: Vec<u8> = (0..200).collect();
             let (here, there) = tokio::io::duplex(1024);
-            let mut into = Uninterrupted(Signals { inner: here, calls: 0, storm });
-            into.write_all(&said).await.unwrap();
+            let mut into = Uninterrupted(ZoneSignals { inner: here, calls: 0, storm });
+            into.write_all(&message).await.unwrap();
             into.flush().await.unwrap();
             into.shutdown().await.unwrap();
             let mut heard = Vec::new();
-            let mut from = Uninterrupted(Signals { inner: there, calls: 0, storm });
+            let mut from = Uninterrupted(ZoneSignals { inner: there, calls: 0, storm });
             from.read_to_end(&mut heard).await.unwrap();
-            assert_eq!(heard, said);
+            assert_eq!(heard, message);
         }
     });
 }
--- a/crates/fleet/src/configuration.rs
+++ b/crates/control-plane/src/configuration.rs
@@ -2,17 +2,17 @@
 //!
 //! What a command makes of the decided configuration is worked out by `curlewhub-rollout`.
 
-use crate::record::TEXT_MOST;
+use crate::record::MAX_TEXT_BYTES;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Settings that one configuration holds, at the most.
-pub const SETTINGS_MOST: usize = 64;
+pub const MAX_SETTINGS: usize = 64;
 /// Bytes of all their fields, values and zones together, at the most: a record holds three such contents, and the servers
-/// tell 1,900 sidecars of it within the second that [`crate::keeper::TELL_BYTES`] is for.
-pub const SETTINGS_BYTES: usize = 4096;
+/// tell 1,900 sidecars of it within the second that [`crate::consensus::SEND_BYTES_PER_S`] is for.
+pub const MAX_SETTINGS_BYTES: usize = 4096;
 /// Zones that a canary names, at the most.
-pub const ZONES_MOST: usize = 64;
+pub const MAX_ZONES: usize = 64;
 
 /// The number of a configuration: it rises with each change and with each rollback, and stands for one content forever.
 /// 0 is the empty configuration, which each fleet begins with.
@@ -146,7 +146,7 @@
 pub struct Refusal {
     /// Which.
     pub number: ConfigNumber,
-    /// Why, cut to [`TEXT_MOST`] bytes.
+    /// Why, cut to [`MAX_TEXT_BYTES`] bytes.
     pub why: String,
 }
 
@@ -161,7 +161,7 @@
 
 impl ConfigReport {
     /// Whether its text is within its bounds.
-    pub fn is_sensible(&self) -> bool {
-        self.refused.as_ref().is_none_or(|refused| refused.why.len() <= TEXT_MOST)
+    pub fn is_valid(&self) -> bool {
+        self.refused.as_ref().is_none_or(|refused| refused.why.len() <= MAX_TEXT_BYTES)
     }
 }
