--- a/crates/fleet/src/keeper.rs
+++ b/crates/control-plane/src/consensus.rs
@@ -3,13 +3,16 @@
 //! The host gives it ticks, messages and proposals, and after each takes its [`Output`]: it writes and syncs what is to
 //! be kept, and only then sends what is to be said.
 
-use crate::evidence::{Digest, Evidence, NotTaken};
-use crate::holder::{PACE, PACE_MOST, RECORDS_MOST, RENEW_PACES};
+use crate::evidence::{Digest, DigestRejection, Evidence};
+use crate::protocol::{Message, PeerId};
 use crate::record::{Proposal, Record, Version};
-use crate::view::{Refused, Tail, View};
-use crate::wire::{Said, Who};
+use crate::subscriber::{
+    EVIDENCE_INTERVAL, INTERVALS_PER_FETCH, MAX_EVIDENCE_INTERVAL, MAX_RECORDS_PER_MESSAGE,
+};
+use crate::view::{ApplyError, RecordTail, View};
 use raft::eraftpb::{
-    ConfChange, ConfChangeType, ConfState, Entry, EntryType, HardState, Message, MessageType, Snapshot,
+    ConfChange, ConfChangeType, ConfState, Entry, EntryType, HardState, Message as RaftMessage,
+    MessageType, Snapshot,
 };
 use raft::storage::{MemStorage, Storage};
 use raft::{Config, GetEntriesContext, RaftState, RawNode, StateRole, StorageError};
@@ -20,56 +23,56 @@
 use std::time::Duration;
 
 /// The host ticks a keeper this often.
-pub const TICK: Duration = Duration::from_millis(50);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// A keeper that has heard no leader for so many ticks, and a few more by its number, asks for votes.
 const ELECTION_TICKS: usize = 10;
 /// Ticks between two keepers' timeouts: more than a heartbeat and the way there and back.
-const APART_TICKS: usize = 3;
+const ELECTION_TICKS_SPREAD: usize = 3;
 /// Applied entries after which what they did is kept as a snapshot in their place.
 const COMPACT_AFTER: u64 = 512;
 /// Entries left behind a snapshot for a keeper a little behind.
-const COMPACT_LEAVES: u64 = 128;
+const ENTRIES_KEPT_BY_COMPACTION: u64 = 128;
 /// Answers of a majority count for so long.
-const CONFIRMED: Duration = Duration::from_millis(300);
+const QUORUM_CONTACT_VALID_FOR: Duration = Duration::from_millis(300);
 /// A proposal that is not decided after this is told so; it may be all the same, later.
-const DECIDE_MOST: Duration = Duration::from_secs(3);
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Proposals under way at one keeper, at the most.
-const PROPOSALS_MOST: usize = 256;
+const MAX_PENDING_PROPOSALS: usize = 256;
 /// Ids of decided proposals that are remembered, so that one that comes twice is decided once.
-const IDS_MOST: usize = 1024;
+const MAX_REMEMBERED_PROPOSALS: usize = 1024;
 /// Holders that are told what follows, at the most.
-const TOLD_MOST: usize = 20_000;
+const MAX_NOTIFIED_SUBSCRIBERS: usize = 20_000;
 /// Digests that a keeper takes in a second: of a larger fleet each sidecar tells more seldom, and still hundreds tell in the
 /// time in which a hall is judged.
-const DIGESTS_PER_S: f64 = 2000.0;
+const MAX_DIGESTS_PER_S: f64 = 2000.0;
 /// Bytes that a keeper tells holders in a second, at the most, and saves up at the most.
-pub const TELL_BYTES: f64 = 16e6;
+pub const SEND_BYTES_PER_S: f64 = 16e6;
 
 /// What raft's entries agree on.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct Agreed {
+struct ProposalEntry {
     at_ms: u64,
     proposal: Proposal,
 }
 
 /// Why an agreed entry is no new record.
-enum Undecided {
+enum RejectedEntry {
     /// It has come before, and is this version.
-    Twice(Version),
+    Duplicate(Version),
     /// It makes no sense after what was decided before it.
-    Senseless(String),
+    Invalid(String),
 }
 
 /// What all keepers make of the same entries.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-struct State {
+struct ReplicaState {
     view: View,
     ids: VecDeque<(u64, Version)>,
 }
 
 /// What must be on disk before anything of the same output is said.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Persist {
+pub struct WriteBatch {
     /// In place of all that is kept.
     pub snapshot: Option<Vec<u8>>,
     /// By index; those of the first index and after are replaced.
@@ -80,16 +83,16 @@
     pub compact: Option<u64>,
 }
 
-impl Persist {
+impl WriteBatch {
     /// Whether there is nothing to write.
     pub fn is_empty(&self) -> bool {
-        *self == Persist::default()
+        *self == WriteBatch::default()
     }
 }
 
 /// All that a keeper has kept on disk.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Kept {
+pub struct PersistedState {
     /// The last snapshot.
     pub snapshot: Option<Vec<u8>>,
     /// By index.
@@ -98,9 +101,9 @@
     pub hard_state: Option<Vec<u8>>,
 }
 
-impl Kept {
+impl PersistedState {
     /// Takes what an output wants kept, as a store does.
-    pub fn take(&mut self, persist: &Persist) {
+    pub fn apply(&mut self, persist: &WriteBatch) {
         if let Some(snapshot) = &persist.snapshot {
             self.snapshot = Some(snapshot.clone());
             if persist.compact.is_none() {
@@ -124,33 +127,33 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Output {
     /// To be kept.
-    pub persist: Persist,
+    pub writes: WriteBatch,
     /// Messages of the agreement, by the keeper's number.
-    pub agreement: Vec<(u64, Vec<u8>)>,
+    pub raft_messages: Vec<(u64, Vec<u8>)>,
     /// To be said to holders and proposers, by name.
-    pub said: Vec<(String, Said)>,
+    pub messages: Vec<(String, Message)>,
     /// Newly decided.
     pub applied: Vec<Record>,
 }
 
 /// Why a keeper can't begin or do something.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum KeeperError {
+pub enum ReplicaError {
     /// What was kept can't be read.
     #[error("what was kept can't be read: {0}")]
-    Kept(String),
+    CorruptState(String),
     /// The agreement's library refuses.
     #[error("agreement: {0}")]
-    Agreement(String),
+    Raft(String),
 }
 
 /// Raft's storage in memory, with the snapshot that the last compaction made.
-struct Store {
+struct RaftStorage {
     memory: MemStorage,
     snapshot: Snapshot,
 }
 
-impl Storage for Store {
+impl Storage for RaftStorage {
     fn initial_state(&self) -> raft::Result<RaftState> {
         self.memory.initial_state()
     }
@@ -186,11 +189,11 @@
 }
 
 /// A keeper.
-pub struct Keeper {
+pub struct Replica {
     id: u64,
-    node: RawNode<Store>,
-    state: State,
-    tail: Tail,
+    node: RawNode<RaftStorage>,
+    state: ReplicaState,
+    tail: RecordTail,
     applied_index: u64,
     conf: ConfState,
     /// The keepers are others than in the last snapshot: a new one takes none that does not name it.
@@ -204,17 +207,17 @@
     told: BTreeMap<String, Duration>,
     budget: f64,
     draws: Pcg32,
-    forgot: bool,
+    has_lost_state: bool,
     /// When each other keeper last answered this one as the leader of its term.
     answered: BTreeMap<u64, Duration>,
     /// Sidecars were told to tell more seldom, and are to be told when they need not any more.
     paced: bool,
     /// Messages of the agreement that could not be read or did not fit.
-    pub unread: u64,
+    pub malformed_messages: u64,
     /// Asks that were put off.
-    pub put_off: u64,
+    pub deferred_fetches: u64,
     /// Digests that were not taken, by why; late and repeated ones are expected.
-    pub not_taken: BTreeMap<NotTaken, u64>,
+    pub rejected_digests: BTreeMap<DigestRejection, u64>,
 }
 
 /// The snapshot that all first keepers begin from, so that they agree on who they are.
@@ -223,7 +226,7 @@
     snapshot.mut_metadata().index = 1;
     snapshot.mut_metadata().term = 1;
     snapshot.mut_metadata().mut_conf_state().set_voters(keepers.to_vec());
-    snapshot.set_data(encode(&State::default()).into());
+    snapshot.set_data(encode(&ReplicaState::default()).into());
     snapshot
 }
 
@@ -231,9 +234,9 @@
     postcard::to_allocvec(value).unwrap_or_default() // plain data: it never fails
 }
 
-fn read<M: protobuf::Message>(bytes: &[u8]) -> Result<M, KeeperError> {
+fn read<M: protobuf::Message>(bytes: &[u8]) -> Result<M, ReplicaError> {
     let mut message = M::new();
-    message.merge_from_bytes(bytes).map_err(|e| KeeperError::Kept(e.to_string()))?;
+    message.merge_from_bytes(bytes).map_err(|e| ReplicaError::CorruptState(e.to_string()))?;
     Ok(message)
 }
 
@@ -241,33 +244,33 @@
     message.write_to_bytes().unwrap_or_default() // into memory: it never fails
 }
 
-fn agreement(error: impl std::fmt::Display) -> KeeperError {
-    KeeperError::Agreement(error.to_string())
+fn agreement(error: impl std::fmt::Display) -> ReplicaError {
+    ReplicaError::Raft(error.to_string())
 }
 
-impl Keeper {
+impl Replica {
     /// What one of the first keepers begins with, on an empty disk.
-    pub fn first(keepers: &[u64]) -> Kept {
-        Kept { snapshot: Some(write(&first_snapshot(keepers))), ..Kept::default() }
+    pub fn bootstrap_state(keepers: &[u64]) -> PersistedState {
+        PersistedState { snapshot: Some(write(&first_snapshot(keepers))), ..PersistedState::default() }
     }
 
     /// What one that joins later begins with: nothing. It must have a number that no keeper ever had: one that forgot
     /// what it promised must not be taken for who promised.
-    pub fn joining() -> Kept {
-        Kept::default()
+    pub fn joining_state() -> PersistedState {
+        PersistedState::default()
     }
 
     /// Begins, or goes on, with what was kept.
     ///
     /// # Errors
     /// It can't be read.
-    pub fn new(id: u64, kept: &Kept, seed: u64, now: Duration) -> Result<Keeper, KeeperError> {
+    pub fn new(id: u64, kept: &PersistedState, seed: u64, now: Duration) -> Result<Replica, ReplicaError> {
         let memory = MemStorage::new();
-        let (mut state, mut snapshot) = (State::default(), Snapshot::default());
+        let (mut state, mut snapshot) = (ReplicaState::default(), Snapshot::default());
         if let Some(bytes) = &kept.snapshot {
             snapshot = read(bytes)?;
-            state =
-                postcard::from_bytes(snapshot.get_data()).map_err(|e| KeeperError::Kept(e.to_string()))?;
+            state = postcard::from_bytes(snapshot.get_data())
+                .map_err(|e| ReplicaError::CorruptState(e.to_string()))?;
             memory.wl().apply_snapshot(snapshot.clone()).map_err(agreement)?;
         }
         let from = snapshot.get_metadata().index;
@@ -277,7 +280,7 @@
         if let Some((n, _)) =
             entries.iter().enumerate().find(|(n, entry)| entry.index != from + 1 + *n as u64)
         {
-            return Err(KeeperError::Kept(format!("entry {} is missing", from + 1 + n as u64)));
+            return Err(ReplicaError::CorruptState(format!("entry {} is missing", from + 1 + n as u64)));
         }
         memory.wl().append(&entries).map_err(agreement)?;
         if let Some(bytes) = &kept.hard_state {
@@ -285,7 +288,7 @@
             // What is kept of entries decides: a commit beyond them was said of what a torn write lost.
             let last = entries.last().map_or(from, |entry| entry.index);
             if hard.commit > last {
-                return Err(KeeperError::Kept(format!(
+                return Err(ReplicaError::CorruptState(format!(
                     "{} is decided, and {last} is the last that is kept",
                     hard.commit
                 )));
@@ -293,7 +296,7 @@
             hard.commit = hard.commit.max(from);
             memory.wl().set_hardstate(hard);
         }
-        let ticks = ELECTION_TICKS + APART_TICKS * (id % 8) as usize;
+        let ticks = ELECTION_TICKS + ELECTION_TICKS_SPREAD * (id % 8) as usize;
         let config = Config {
             id,
             election_tick: ELECTION_TICKS,
@@ -309,10 +312,10 @@
         };
         let conf = snapshot.get_metadata().get_conf_state().clone();
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let node = RawNode::new(&config, Store { memory, snapshot }, &logger).map_err(agreement)?;
+        let node = RawNode::new(&config, RaftStorage { memory, snapshot }, &logger).map_err(agreement)?;
         let (tail, evidence, waiting, told, unread, put_off, not_taken) = Default::default();
         let draws = Pcg32::seed_from_u64(seed);
-        Ok(Keeper {
+        Ok(Replica {
             id,
             node,
             state,
@@ -325,14 +328,14 @@
             unix_ms: 0,
             waiting,
             told,
-            budget: TELL_BYTES,
+            budget: SEND_BYTES_PER_S,
             draws,
-            forgot: false,
+            has_lost_state: false,
             answered: BTreeMap::new(),
             paced: false,
-            unread,
-            put_off,
-            not_taken,
+            malformed_messages: unread,
+            deferred_fetches: put_off,
+            rejected_digests: not_taken,
         })
     }
 
@@ -352,22 +355,26 @@
     }
 
     /// Whether it leads.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.node.raft.state == StateRole::Leader
     }
 
     /// Whether a majority has answered it as their leader of late: one that was paused, or cut off, may still think that it
     /// leads.
-    pub fn is_confirmed(&self, now: Duration) -> bool {
+    pub fn has_recent_quorum(&self, now: Duration) -> bool {
         let of_late = |id: &&u64| {
-            **id == self.id || self.answered.get(id).is_some_and(|at| now.saturating_sub(*at) <= CONFIRMED)
+            **id == self.id
+                || self
+                    .answered
+                    .get(id)
+                    .is_some_and(|at| now.saturating_sub(*at) <= QUORUM_CONTACT_VALID_FOR)
         };
-        let there = self.keepers().iter().filter(of_late).count();
-        self.leads() && there * 2 > self.keepers().len()
+        let there = self.voters().iter().filter(of_late).count();
+        self.is_leader() && there * 2 > self.voters().len()
     }
 
     /// The leader's number, as far as it knows; 0 for none.
-    pub fn leader(&self) -> u64 {
+    pub fn leader_id(&self) -> u64 {
         self.node.raft.leader_id
     }
 
@@ -377,7 +384,7 @@
     }
 
     /// The keepers' numbers.
-    pub fn keepers(&self) -> &[u64] {
+    pub fn voters(&self) -> &[u64] {
         self.conf.get_voters()
     }
 
@@ -385,7 +392,7 @@
     pub fn tick(&mut self, now: Duration, unix_ms: u64) -> Output {
         let passed = now.saturating_sub(self.now);
         (self.now, self.unix_ms) = (now, unix_ms);
-        self.budget = (self.budget + TELL_BYTES * passed.as_secs_f64()).min(TELL_BYTES);
+        self.budget = (self.budget + SEND_BYTES_PER_S * passed.as_secs_f64()).min(SEND_BYTES_PER_S);
         self.told.retain(|_, until| now < *until);
         self.node.tick();
         let mut output = self.output();
@@ -394,21 +401,21 @@
         for id in late {
             if let Some((name, _)) = self.waiting.remove(&id) {
                 let why = "no majority of keepers agreed in time; it may be decided later".to_owned();
-                output.said.push((name, Said::NotDecided { id, why }));
+                output.messages.push((name, Message::NotDecided { id, why }));
             }
         }
         output
     }
 
     /// A message of another keeper.
-    pub fn agreement(&mut self, bytes: &[u8]) -> Output {
-        match read::<Message>(bytes) {
+    pub fn handle_raft_message(&mut self, bytes: &[u8]) -> Output {
+        match read::<RaftMessage>(bytes) {
             // Of one that is not of its configuration, or of a past term, raft takes nothing.
             // The leader counts on what this keeper has said that it holds, and it does not hold it.
             Ok(message)
-                if message.get_msg_type() == MessageType::MsgHeartbeat && self.is_beyond(&message) =>
+                if message.get_msg_type() == MessageType::MsgHeartbeat && self.is_beyond_log(&message) =>
             {
-                self.forgot = true;
+                self.has_lost_state = true;
                 return Output::default();
             }
             Ok(message) if message.to == self.id => {
@@ -416,123 +423,128 @@
                     message.get_msg_type(),
                     MessageType::MsgHeartbeatResponse | MessageType::MsgAppendResponse
                 );
-                if answers && message.term == self.node.raft.term && self.leads() {
+                if answers && message.term == self.node.raft.term && self.is_leader() {
                     self.answered.insert(message.from, self.now);
                 }
                 if self.node.step(message).is_err() {
-                    self.unread += 1;
+                    self.malformed_messages += 1;
                 }
             }
-            _ => self.unread += 1,
+            _ => self.malformed_messages += 1,
         }
         self.output()
     }
 
-    fn is_beyond(&self, message: &Message) -> bool {
+    fn is_beyond_log(&self, message: &RaftMessage) -> bool {
         let log = &self.node.raft.raft_log;
         message.to == self.id && message.term >= self.node.raft.term && message.commit > log.last_index()
     }
 
     /// Whether it has been shown that its disk holds less than it has promised: an old copy, or one that forgot. It must end.
-    pub fn forgot(&self) -> bool {
-        self.forgot
+    pub fn has_lost_state(&self) -> bool {
+        self.has_lost_state
     }
 
     /// Something that a holder or an operator says.
-    pub fn heard(&mut self, from: &Who, said: Said) -> Output {
-        match said {
-            Said::Ask { after } => self.asked(from, after),
-            Said::Saw(digest) => {
-                self.takes(from, &digest);
+    pub fn handle_message(&mut self, from: &PeerId, message: Message) -> Output {
+        match message {
+            Message::FetchRecords { after } => self.answer_fetch(from, after),
+            Message::Evidence(digest) => {
+                self.record_evidence(from, &digest);
                 Output::default()
             }
-            Said::Propose(proposal) => self.propose(&from.name, proposal),
+            Message::Propose(proposal) => self.propose(&from.name, proposal),
             _ => Output::default(),
         }
     }
 
     /// Whether a sidecar's digest is taken; why not is counted.
-    pub fn takes(&mut self, from: &Who, digest: &Digest) -> bool {
-        let taken = self.evidence.heard(self.now, from, digest);
+    pub fn record_evidence(&mut self, from: &PeerId, digest: &Digest) -> bool {
+        let taken = self.evidence.record(self.now, from, digest);
         if let Err(why) = taken {
-            *self.not_taken.entry(why).or_default() += 1;
+            *self.rejected_digests.entry(why).or_default() += 1;
         }
         taken.is_ok()
     }
 
-    fn asked(&mut self, from: &Who, after: Version) -> Output {
-        let answer = self.tell(after);
-        let cost = 100.0 + answer.size() as f64;
+    fn answer_fetch(&mut self, from: &PeerId, after: Version) -> Output {
+        let answer = self.answer(after);
+        let cost = 100.0 + answer.approximate_size() as f64;
         let mut output = Output::default();
         // One that is larger than all that can be saved goes alone.
-        if cost > self.budget && self.budget < TELL_BYTES {
-            self.put_off += 1;
+        if cost > self.budget && self.budget < SEND_BYTES_PER_S {
+            self.deferred_fetches += 1;
             let after_ms = self.draws.random_range(200..1000);
-            output.said.push((from.name.clone(), Said::Later { after_ms }));
+            output.messages.push((from.name.clone(), Message::RetryAfter { after_ms }));
             return output;
         }
         self.budget -= cost;
-        if self.told.len() < TOLD_MOST || self.told.contains_key(&from.name) {
-            self.told.insert(from.name.clone(), self.now + self.pace() * RENEW_PACES * 3 / 2);
-        }
-        let pace = self.pace();
-        self.paced |= pace > PACE;
+        if self.told.len() < MAX_NOTIFIED_SUBSCRIBERS || self.told.contains_key(&from.name) {
+            self.told.insert(
+                from.name.clone(),
+                self.now + self.evidence_interval() * INTERVALS_PER_FETCH * 3 / 2,
+            );
+        }
+        let pace = self.evidence_interval();
+        self.paced |= pace > EVIDENCE_INTERVAL;
         if self.paced {
             let every_ms = pace.as_millis() as u32;
-            output.said.push((from.name.clone(), Said::Pace { every_ms }));
+            output
+                .messages
+                .push((from.name.clone(), Message::SetEvidenceInterval { interval_ms: every_ms }));
         }
-        output.said.push((from.name.clone(), answer));
+        output.messages.push((from.name.clone(), answer));
         output
     }
 
     /// How often each of the sidecars that are known may tell.
-    fn pace(&self) -> Duration {
-        let wanted = Duration::from_secs_f64(self.evidence.sidecars() as f64 / DIGESTS_PER_S);
+    fn evidence_interval(&self) -> Duration {
+        let wanted = Duration::from_secs_f64(self.evidence.sidecar_count() as f64 / MAX_DIGESTS_PER_S);
         // In whole steps, so that it does not change with every sidecar.
-        let steps = wanted.as_millis().div_ceil(PACE.as_millis()) as u32;
-        (PACE * steps).clamp(PACE, PACE_MOST)
+        let steps = wanted.as_millis().div_ceil(EVIDENCE_INTERVAL.as_millis()) as u32;
+        (EVIDENCE_INTERVAL * steps).clamp(EVIDENCE_INTERVAL, MAX_EVIDENCE_INTERVAL)
     }
 
-    fn tell(&self, after: Version) -> Said {
+    fn answer(&self, after: Version) -> Message {
         let view = &self.state.view;
         if after >= view.version() {
-            return Said::Have { version: view.version(), hash: view.hash() };
+            return Message::ViewVersion { version: view.version(), hash: view.hash() };
         }
-        match self.tail.after(after, RECORDS_MOST) {
-            Some(records) => Said::Records(records),
-            None => Said::Snapshot(view.clone()),
+        match self.tail.after(after, MAX_RECORDS_PER_MESSAGE) {
+            Some(records) => Message::Records(records),
+            None => Message::Snapshot(view.clone()),
         }
     }
 
     /// As which version a proposal was decided, if it was lately.
-    pub fn decided(&self, id: u64) -> Option<Version> {
+    pub fn decided_version(&self, id: u64) -> Option<Version> {
         self.state.ids.iter().find(|(known, _)| *known == id).map(|(_, version)| *version)
     }
 
     fn propose(&mut self, name: &str, proposal: Proposal) -> Output {
         let id = proposal.id;
         let mut output = Output::default();
-        let refuse = |why: String| (name.to_owned(), Said::NotDecided { id, why });
-        if let Some(version) = self.decided(id) {
-            output.said.push((name.to_owned(), Said::Decided { id, version }));
+        let refuse = |why: String| (name.to_owned(), Message::NotDecided { id, why });
+        if let Some(version) = self.decided_version(id) {
+            output.messages.push((name.to_owned(), Message::Decided { id, version }));
             return output;
         }
-        if let Err(problem) = proposal.check() {
-            output.said.push(refuse(problem.to_string()));
+        if let Err(problem) = proposal.validate() {
+            output.messages.push(refuse(problem.to_string()));
             return output;
         }
-        if self.waiting.len() >= PROPOSALS_MOST {
-            output.said.push(refuse(format!("{PROPOSALS_MOST} proposals are under way")));
+        if self.waiting.len() >= MAX_PENDING_PROPOSALS {
+            output.messages.push(refuse(format!("{MAX_PENDING_PROPOSALS} proposals are under way")));
             return output;
         }
-        let data = encode(&Agreed { at_ms: self.unix_ms, proposal });
+        let data = encode(&ProposalEntry { at_ms: self.unix_ms, proposal });
         match self.node.propose(Vec::new(), data) {
             Ok(()) => {
-                self.waiting.insert(id, (name.to_owned(), self.now + DECIDE_MOST));
+                self.waiting.insert(id, (name.to_owned(), self.now + PROPOSAL_TIMEOUT));
                 self.output()
             }
             Err(e) => {
-                output.said.push(refuse(format!("no leader takes it: {e}")));
+                output.messages.push(refuse(format!("no leader takes it: {e}")));
                 output
             }
         }
@@ -542,22 +554,22 @@
     ///
     /// # Errors
     /// It does not lead, or another change is under way.
-    pub fn change(&mut self, keeper: u64, add: bool) -> Result<Output, KeeperError> {
-        if !self.leads() {
-            return Err(KeeperError::Agreement(format!("keeper {} leads", self.leader())));
+    pub fn change_voters(&mut self, keeper: u64, add: bool) -> Result<Output, ReplicaError> {
+        if !self.is_leader() {
+            return Err(ReplicaError::Raft(format!("keeper {} leads", self.leader_id())));
         }
-        let known = self.keepers().contains(&keeper);
-        if !add && known && self.keepers().len() == 1 {
-            return Err(KeeperError::Agreement(format!("{keeper} is the only keeper")));
+        let known = self.voters().contains(&keeper);
+        if !add && known && self.voters().len() == 1 {
+            return Err(ReplicaError::Raft(format!("{keeper} is the only keeper")));
         }
         if known == add {
-            return Err(KeeperError::Agreement(format!(
+            return Err(ReplicaError::Raft(format!(
                 "{keeper} is {} a keeper",
                 if add { "already" } else { "not" }
             )));
         }
         if self.node.raft.has_pending_conf() {
-            return Err(KeeperError::Agreement("another change is under way".to_owned()));
+            return Err(ReplicaError::Raft("another change is under way".to_owned()));
         }
         let mut change = ConfChange::default();
         change.set_change_type(if add { ConfChangeType::AddNode } else { ConfChangeType::RemoveNode });
@@ -572,50 +584,50 @@
         // Each round's work may bring about more; it ends, since nothing new comes in meanwhile.
         while self.node.has_ready() {
             let mut ready = self.node.ready();
-            self.say(ready.take_messages(), &mut output);
+            self.queue_raft_messages(ready.take_messages(), &mut output);
             if !ready.snapshot().is_empty() {
                 self.restore(ready.snapshot().clone(), &mut output);
             }
             if !ready.entries().is_empty() {
                 let kept = ready.entries().iter().map(|entry| (entry.index, write(entry)));
-                keep(&mut output.persist.entries, kept.collect());
+                keep(&mut output.writes.entries, kept.collect());
                 // It was made of what the library itself holds to be next.
                 let appended = self.node.mut_store().memory.wl().append(ready.entries());
                 debug_assert!(appended.is_ok());
             }
             if let Some(hard) = ready.hs() {
-                output.persist.hard_state = Some(write(hard));
+                output.writes.hard_state = Some(write(hard));
                 self.node.mut_store().memory.wl().set_hardstate(hard.clone());
             }
-            self.say(ready.take_persisted_messages(), &mut output);
+            self.queue_raft_messages(ready.take_persisted_messages(), &mut output);
             let committed = ready.take_committed_entries();
             self.apply(committed, &mut output);
             let mut light = self.node.advance(ready);
             if let Some(commit) = light.commit_index() {
                 let mut memory = self.node.mut_store().memory.wl();
                 memory.mut_hard_state().commit = commit;
-                output.persist.hard_state = Some(write(memory.hard_state()));
+                output.writes.hard_state = Some(write(memory.hard_state()));
             }
-            self.say(light.take_messages(), &mut output);
+            self.queue_raft_messages(light.take_messages(), &mut output);
             let committed = light.take_committed_entries();
             self.apply(committed, &mut output);
             self.node.advance_apply();
         }
         self.compact(&mut output);
-        self.tell_all(&mut output);
+        self.notify_subscribers(&mut output);
         output
     }
 
-    fn say(&self, messages: Vec<Message>, output: &mut Output) {
-        output.agreement.extend(messages.into_iter().map(|message| (message.to, write(&message))));
+    fn queue_raft_messages(&self, messages: Vec<RaftMessage>, output: &mut Output) {
+        output.raft_messages.extend(messages.into_iter().map(|message| (message.to, write(&message))));
     }
 
     /// The leader's snapshot takes the place of all that was.
     fn restore(&mut self, snapshot: Snapshot, output: &mut Output) {
-        let state: Result<State, _> = postcard::from_bytes(snapshot.get_data());
+        let state: Result<ReplicaState, _> = postcard::from_bytes(snapshot.get_data());
         // What a keeper of this fleet made is readable by this build or a newer one; else it must not go on.
-        let Ok(state) = state else { return self.unread += 1 };
-        output.persist = Persist { snapshot: Some(write(&snapshot)), ..Persist::default() };
+        let Ok(state) = state else { return self.malformed_messages += 1 };
+        output.writes = WriteBatch { snapshot: Some(write(&snapshot)), ..WriteBatch::default() };
         let metadata = snapshot.get_metadata();
         (self.state, self.applied_index) = (state, metadata.index);
         self.conf = metadata.get_conf_state().clone();
@@ -630,7 +642,7 @@
         for entry in entries {
             self.applied_index = entry.index;
             match entry.get_entry_type() {
-                EntryType::EntryNormal if !entry.data.is_empty() => self.decide(&entry, output),
+                EntryType::EntryNormal if !entry.data.is_empty() => self.apply_proposal(&entry, output),
                 EntryType::EntryNormal => {} // a new leader's
                 EntryType::EntryConfChange => {
                     let Ok(change) = read::<ConfChange>(&entry.data) else { continue };
@@ -645,44 +657,44 @@
     }
 
     /// An agreed entry becomes the next record, if it makes sense after what was decided before it.
-    fn decide(&mut self, entry: &Entry, output: &mut Output) {
-        let Ok(Agreed { at_ms, proposal }) = postcard::from_bytes(&entry.data) else {
-            return self.unread += 1; // the same at every keeper
+    fn apply_proposal(&mut self, entry: &Entry, output: &mut Output) {
+        let Ok(ProposalEntry { at_ms, proposal }) = postcard::from_bytes(&entry.data) else {
+            return self.malformed_messages += 1; // the same at every keeper
         };
         let id = proposal.id;
-        let said = match self.next_record(entry.term, at_ms, proposal) {
+        let message = match self.next_record(entry.term, at_ms, proposal) {
             Ok(record) => {
                 let version = record.version;
                 output.applied.push(record);
-                Said::Decided { id, version }
+                Message::Decided { id, version }
             }
-            Err(Undecided::Twice(version)) => Said::Decided { id, version },
-            Err(Undecided::Senseless(why)) => Said::NotDecided { id, why },
+            Err(RejectedEntry::Duplicate(version)) => Message::Decided { id, version },
+            Err(RejectedEntry::Invalid(why)) => Message::NotDecided { id, why },
         };
         if let Some((name, _)) = self.waiting.remove(&id) {
-            output.said.push((name, said));
+            output.messages.push((name, message));
         }
     }
 
-    fn next_record(&mut self, term: u64, at_ms: u64, proposal: Proposal) -> Result<Record, Undecided> {
-        if let Some(version) = self.decided(proposal.id) {
-            return Err(Undecided::Twice(version));
+    fn next_record(&mut self, term: u64, at_ms: u64, proposal: Proposal) -> Result<Record, RejectedEntry> {
+        if let Some(version) = self.decided_version(proposal.id) {
+            return Err(RejectedEntry::Duplicate(version));
         }
         let view = &mut self.state.view;
-        if let Some(wanted) = proposal.only_after {
+        if let Some(wanted) = proposal.expected_version {
             let newest = view.get(&proposal.key).map_or(Version(0), |record| record.version);
             if newest != wanted {
                 let why = format!("{} is at version {newest}, and not {wanted}", proposal.key);
-                return Err(Undecided::Senseless(why));
+                return Err(RejectedEntry::Invalid(why));
             }
         }
         let (id, version) = (proposal.id, view.version().next());
-        let record = Record { version, term, before: view.hash(), at_ms, proposal };
-        let refused = |refused: Refused| Undecided::Senseless(refused.to_string());
+        let record = Record { version, term, previous_hash: view.hash(), at_ms, proposal };
+        let refused = |refused: ApplyError| RejectedEntry::Invalid(refused.to_string());
         view.apply(record.clone()).map_err(refused)?;
         self.tail.push(record.clone());
         self.state.ids.push_back((id, version));
-        if self.state.ids.len() > IDS_MOST {
+        if self.state.ids.len() > MAX_REMEMBERED_PROPOSALS {
             self.state.ids.pop_front();
         }
         Ok(record)
@@ -702,21 +714,23 @@
         snapshot.mut_metadata().set_conf_state(self.conf.clone());
         snapshot.set_data(encode(&self.state).into());
         self.conf_changed = false;
-        let first =
-            self.applied_index.saturating_sub(COMPACT_LEAVES).max(store.memory.first_index().unwrap_or(1));
+        let first = self
+            .applied_index
+            .saturating_sub(ENTRIES_KEPT_BY_COMPACTION)
+            .max(store.memory.first_index().unwrap_or(1));
         if store.memory.wl().compact(first).is_ok() {
-            output.persist.snapshot = Some(write(&snapshot));
-            output.persist.compact = Some(first);
+            output.writes.snapshot = Some(write(&snapshot));
+            output.writes.compact = Some(first);
             store.snapshot = snapshot;
         }
     }
 
-    fn tell_all(&mut self, output: &mut Output) {
+    fn notify_subscribers(&mut self, output: &mut Output) {
         if output.applied.is_empty() {
             return;
         }
         for name in self.told.keys() {
-            output.said.push((name.clone(), Said::Records(output.applied.clone())));
+            output.messages.push((name.clone(), Message::Records(output.applied.clone())));
         }
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -4,14 +4,14 @@
 //! each sidecar, bring themselves up from keepers or from one another. [`evidence`] goes the other way. [`wire`] is how
 //! any of it is said.
 
-pub mod acted;
-pub mod agent;
+pub mod applied;
+pub mod client;
 pub mod configuration;
+pub mod consensus;
+pub mod consensus_server;
 pub mod evidence;
-pub mod holder;
-pub mod keeper;
-pub mod members;
+pub mod membership;
+pub mod protocol;
 pub mod record;
-pub mod seat;
+pub mod subscriber;
 pub mod view;
-pub mod wire;
--- a/crates/fleet/src/record.rs
+++ b/crates/control-plane/src/record.rs
@@ -32,23 +32,23 @@
 
 /// What a record is about, by a number that later builds add to.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct Kind(pub u16);
+pub struct RecordKind(pub u16);
 
-impl Kind {
+impl RecordKind {
     /// A note for people, which changes nothing.
-    pub const NOTE: Kind = Kind(1);
+    pub const NOTE: RecordKind = RecordKind(1);
     /// A state of a hall or region.
-    pub const PLACE: Kind = Kind(2);
+    pub const ZONE_STATES: RecordKind = RecordKind(2);
     /// All automatic moves stand still, or go on.
-    pub const FREEZE: Kind = Kind(3);
+    pub const FREEZE: RecordKind = RecordKind(3);
     /// The sidecars' configuration, and how far it is spread.
-    pub const CONFIG: Kind = Kind(4);
+    pub const CONFIG: RecordKind = RecordKind(4);
 }
 
 /// The largest body, in bytes: what an operator's largest plan may need.
-pub const BODY_MOST: usize = 1 << 20;
+pub const MAX_BODY_BYTES: usize = 1 << 20;
 /// The longest key, name and reason, in bytes.
-pub const TEXT_MOST: usize = 200;
+pub const MAX_TEXT_BYTES: usize = 200;
 
 /// What is proposed to be decided.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -58,7 +58,7 @@
     /// What it is about; it supersedes what was decided of this key before.
     pub key: String,
     /// Its kind.
-    pub kind: Kind,
+    pub kind: RecordKind,
     /// What is decided, in the form of its kind.
     pub body: Vec<u8>,
     /// Who.
@@ -66,13 +66,13 @@
     /// Why.
     pub why: String,
     /// Only where the key's newest version is this one, if it is said: two that decide at once don't both.
-    pub only_after: Option<Version>,
+    pub expected_version: Option<Version>,
 }
 
 /// Why a proposal makes no sense.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{field}: {problem}")]
-pub struct BadProposal {
+pub struct InvalidProposal {
     /// The field.
     pub field: &'static str,
     /// What is wrong with it.
@@ -84,15 +84,15 @@
     ///
     /// # Errors
     /// The first field that is out of them.
-    pub fn check(&self) -> Result<(), BadProposal> {
-        let bad = |field, problem| Err(BadProposal { field, problem });
+    pub fn validate(&self) -> Result<(), InvalidProposal> {
+        let bad = |field, problem| Err(InvalidProposal { field, problem });
         let key = |c: char| c.is_ascii_graphic();
         match self {
-            p if p.key.is_empty() || p.key.len() > TEXT_MOST => bad("key", "allowed: 1 to 200 bytes"),
+            p if p.key.is_empty() || p.key.len() > MAX_TEXT_BYTES => bad("key", "allowed: 1 to 200 bytes"),
             p if !p.key.chars().all(key) => bad("key", "allowed: visible ASCII without spaces"),
-            p if p.body.len() > BODY_MOST => bad("body", "allowed: up to 1 MiB"),
-            p if p.by.is_empty() || p.by.len() > TEXT_MOST => bad("by", "allowed: 1 to 200 bytes"),
-            p if p.why.len() > TEXT_MOST => bad("why", "allowed: up to 200 bytes"),
+            p if p.body.len() > MAX_BODY_BYTES => bad("body", "allowed: up to 1 MiB"),
+            p if p.by.is_empty() || p.by.len() > MAX_TEXT_BYTES => bad("by", "allowed: 1 to 200 bytes"),
+            p if p.why.len() > MAX_TEXT_BYTES => bad("why", "allowed: up to 200 bytes"),
             _ => Ok(()),
         }
     }
@@ -106,7 +106,7 @@
     /// The term in which it was decided.
     pub term: u64,
     /// The hash of the one before; of the first, that of an empty chain.
-    pub before: Hash,
+    pub previous_hash: Hash,
     /// When its leader proposed it, in milliseconds of Unix time by its clock: for people alone.
     pub at_ms: u64,
     /// What was proposed.
--- a/crates/fleet/src/view.rs
+++ b/crates/control-plane/src/view.rs
@@ -5,39 +5,39 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Keys at the most; one more is refused until another is superseded.
-pub const KEYS_MOST: usize = 4096;
+pub const MAX_KEYS: usize = 4096;
 /// Bytes of all bodies at the most.
-pub const BYTES_MOST: usize = 16 << 20;
+pub const MAX_BYTES: usize = 16 << 20;
 /// Beside these there is room for small bodies: plans must not keep a hall from being left.
-pub const SMALL_BYTES: usize = 2 << 20;
+pub const SMALL_RECORDS_RESERVE: usize = 2 << 20;
 /// So small.
-pub const SMALL: usize = 4096;
+pub const SMALL_RECORD_BYTES: usize = 4096;
 /// Records kept behind the view for who is a little behind.
-pub const TAIL_MOST: usize = 1024;
+pub const MAX_TAIL_RECORDS: usize = 1024;
 /// Bytes of those at the most.
-pub const TAIL_BYTES: usize = 4 << 20;
+pub const MAX_TAIL_BYTES: usize = 4 << 20;
 
 /// Why a record does not follow.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Refused {
+pub enum ApplyError {
     /// It is known already, with this very content.
     #[error("version {0} is known")]
-    Known(Version),
+    AlreadyKnown(Version),
     /// Another content for a version that is known.
     #[error("version {0} has another content here")]
-    Contradicts(Version),
+    Conflict(Version),
     /// There is a gap before it.
     #[error("version {0} does not follow {1}")]
     Gap(Version, Version),
     /// It follows another chain than this one.
     #[error("version {0} names another hash for the one before")]
-    OtherChain(Version),
+    HashMismatch(Version),
     /// It is out of its bounds.
     #[error("{0}")]
-    Bad(#[from] crate::record::BadProposal),
+    InvalidProposal(#[from] crate::record::InvalidProposal),
     /// There is no room for one more.
-    #[error("no room: {KEYS_MOST} keys or {BYTES_MOST} bytes are held")]
-    NoRoom,
+    #[error("no room: {MAX_KEYS} keys or {MAX_BYTES} bytes are held")]
+    CapacityExceeded,
 }
 
 /// A view: a pure function of the records up to its version.
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     /// Why it does not follow.
-    pub fn follows(&self, record: &Record) -> Result<(), Refused> {
+    pub fn validate_next(&self, record: &Record) -> Result<(), ApplyError> {
         let version = record.version;
         if version <= self.version {
             let same = version == self.version && record.hash() == self.hash;
@@ -87,70 +87,72 @@
             let contradicts = version == self.version && !same
                 || self.records.values().any(|known| known.version == version && known != record);
             return Err(match (same || newest, contradicts) {
-                (false, true) => Refused::Contradicts(version),
-                _ => Refused::Known(version),
+                (false, true) => ApplyError::Conflict(version),
+                _ => ApplyError::AlreadyKnown(version),
             });
         }
         if version != self.version.next() {
-            return Err(Refused::Gap(version, self.version));
+            return Err(ApplyError::Gap(version, self.version));
         }
-        if record.before != self.hash {
-            return Err(Refused::OtherChain(version));
+        if record.previous_hash != self.hash {
+            return Err(ApplyError::HashMismatch(version));
         }
-        record.proposal.check()?;
-        self.has_room(record)
+        record.proposal.validate()?;
+        self.check_capacity(record)
     }
 
-    fn has_room(&self, record: &Record) -> Result<(), Refused> {
+    fn check_capacity(&self, record: &Record) -> Result<(), ApplyError> {
         let held = self.get(&record.proposal.key);
-        let more = held.is_none() && self.records.len() >= KEYS_MOST;
+        let more = held.is_none() && self.records.len() >= MAX_KEYS;
         let before = held.map_or(0, |known| known.proposal.body.len());
         let bytes = self.bytes() - before + record.proposal.body.len();
-        let small = record.proposal.body.len() <= SMALL;
-        let most = BYTES_MOST + if small { SMALL_BYTES } else { 0 };
-        if more || bytes > most { Err(Refused::NoRoom) } else { Ok(()) }
+        let small = record.proposal.body.len() <= SMALL_RECORD_BYTES;
+        let most = MAX_BYTES + if small { SMALL_RECORDS_RESERVE } else { 0 };
+        if more || bytes > most { Err(ApplyError::CapacityExceeded) } else { Ok(()) }
     }
 
     /// Takes the next record.
     ///
     /// # Errors
     /// Why it does not follow; nothing has changed then.
-    pub fn apply(&mut self, record: Record) -> Result<(), Refused> {
-        self.follows(&record)?;
+    pub fn apply(&mut self, record: Record) -> Result<(), ApplyError> {
+        self.validate_next(&record)?;
         (self.version, self.hash) = (record.version, record.hash());
         self.records.insert(record.proposal.key.clone(), record);
         Ok(())
     }
 
     /// Whether all of it holds together, as far as one view can tell: for one that came from outside.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_consistent(&self) -> bool {
         let newest = self.records.values().max_by_key(|record| record.version);
         let ends = match newest {
             None => self.version == Version(0) && self.hash == Hash::default(),
             Some(newest) => newest.version == self.version && newest.hash() == self.hash,
         };
         let each = |(key, record): (&String, &Record)| {
-            *key == record.proposal.key && record.version > Version(0) && record.proposal.check().is_ok()
+            *key == record.proposal.key && record.version > Version(0) && record.proposal.validate().is_ok()
         };
         ends && self.records.iter().all(each)
-            && self.records.len() <= KEYS_MOST
-            && self.bytes() <= BYTES_MOST + SMALL_BYTES
+            && self.records.len() <= MAX_KEYS
+            && self.bytes() <= MAX_BYTES + SMALL_RECORDS_RESERVE
     }
 }
 
 /// The last records, for who is a little behind.
 #[derive(Clone, Debug, Default)]
-pub struct Tail {
+pub struct RecordTail {
     records: VecDeque<Record>,
     bytes: usize,
 }
 
-impl Tail {
+impl RecordTail {
     /// One more, the newest.
     pub fn push(&mut self, record: Record) {
         self.bytes += record.proposal.body.len();
         self.records.push_back(record);
-        while self.records.len() > TAIL_MOST || (self.bytes > TAIL_BYTES && self.records.len() > 1) {
+        while self.records.len() > MAX_TAIL_RECORDS
+            || (self.bytes > MAX_TAIL_BYTES && self.records.len() > 1)
+        {
             let Some(oldest) = self.records.pop_front() else { return };
             self.bytes -= oldest.proposal.body.len();
         }
@@ -158,7 +160,7 @@
 
     /// Nothing of it follows what comes next.
     pub fn clear(&mut self) {
-        *self = Tail::default();
+        *self = RecordTail::default();
     }
 
     /// All that follows a version, at most so many; none where some of it is gone.
--- a/crates/curlewhub/src/fleet.rs
+++ b/crates/curlewhub/src/fleet.rs
@@ -4,14 +4,20 @@
 use crate::logs::Logs;
 use comfy_table::Table;
 use curlewhub_config::{Log, LogFormat};
-use curlewhub_fleet::acted::Acted;
-use curlewhub_fleet::members::Standing as MemberStands;
-use curlewhub_fleet::record::{Hash, Kind, Proposal};
-use curlewhub_fleet_node::call::{Described, Halls, Known, change, describe, halls, members, propose};
-use curlewhub_fleet_node::config::FleetConfig;
-use curlewhub_fleet_node::{Acts, Manner, Standing, follow, keep};
-use curlewhub_locality::places::{ByHand, FREEZE, Freeze, HAND, Hand, State};
-use curlewhub_locality::room::Plan;
+use curlewhub_control_plane::applied::AppliedRecords;
+use curlewhub_control_plane::membership::MemberStatus as MemberStands;
+use curlewhub_control_plane::record::{Hash, Proposal, RecordKind};
+use curlewhub_control_plane_node::admin_client::{
+    MemberEntry, ServerStatus, ZoneList, change_voters, describe_servers, list_members, list_zones, propose,
+};
+use curlewhub_control_plane_node::config::FleetConfig;
+use curlewhub_control_plane_node::{
+    SubscriberOptions, SubscriberStatus, ViewHandler, run_consensus_server, run_subscriber,
+};
+use curlewhub_zone_failover::capacity::EvacuationPlan;
+use curlewhub_zone_failover::zone_states::{
+    FREEZE_KEY, Freeze, OVERRIDE_KEY_PREFIX, OperatorOverride, OverrideAction, ZoneState,
+};
 use serde_json::json;
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
@@ -26,15 +32,15 @@
 
 /// Keeps, until told to end.
 pub fn keeper(process: &Process, begin: bool) -> Exit {
-    serve(process, async |config, end| keep(config, begin, end).await)
+    serve(process, async |config, end| run_consensus_server(config, begin, end).await)
 }
 
 /// Does what the command says.
 pub fn fleet(command: &FleetCommand) -> Exit {
     match command {
-        FleetCommand::Follow(process) => {
-            serve(process, async |config, end| follow(config, Manner::default(), &mut Says, end).await)
-        }
+        FleetCommand::Follow(process) => serve(process, async |config, end| {
+            run_subscriber(config, SubscriberOptions::default(), &mut Says, end).await
+        }),
         FleetCommand::Status { config, json } => asked(config, async |config| status(config, *json).await),
         FleetCommand::Members { config, json } => asked(config, async |config| listed(config, *json).await),
         FleetCommand::Log { config, json } => asked(config, async |config| log(config, *json).await),
@@ -43,28 +49,28 @@
                 KeepersChange::Add { id } => (*id, true),
                 KeepersChange::Remove { id } => (*id, false),
             };
-            match change(config, id, add).await {
+            match change_voters(config, id, add).await {
                 Ok(()) => say("under way; `fleet status` shows when it holds\n"),
                 Err(problem) => failed(&problem),
             }
         }),
         FleetCommand::Propose { config, key, kind, body, by, why } => asked(config, async |config| {
-            decide(config, key, Kind(*kind), body.clone().into_bytes(), by, why).await
+            decide(config, key, RecordKind(*kind), body.clone().into_bytes(), by, why).await
         }),
         FleetCommand::Halls { config, json } => asked(config, async |config| halls_of(config, *json).await),
         FleetCommand::Config(command) => crate::fleet_config::run(command),
         FleetCommand::Hall(command) => {
             let (what, words) = match command {
-                HallCommand::Leave(words) => (Hand::Leave, words),
-                HallCommand::Return(words) => (Hand::Return, words),
-                HallCommand::Hold(words) => (Hand::Hold, words),
-                HallCommand::Release(words) => (Hand::Release, words),
+                HallCommand::Leave(words) => (OverrideAction::Leave, words),
+                HallCommand::Return(words) => (OverrideAction::Return, words),
+                HallCommand::Hold(words) => (OverrideAction::Hold, words),
+                HallCommand::Release(words) => (OverrideAction::Release, words),
             };
             asked(&words.config, async |config| by_hand(config, what, words).await)
         }
         FleetCommand::Freeze { config, off, why, by } => asked(config, async |config| {
             let body = serde_json::to_vec(&Freeze { on: !off }).unwrap_or_default();
-            decide(config, FREEZE, Kind::FREEZE, body, by, why).await
+            decide(config, FREEZE_KEY, RecordKind::FREEZE, body, by, why).await
         }),
         FleetCommand::Note { config, text, by, why, every } => asked(config, async |config| {
             let decided = note(config, text, by, why).await;
@@ -82,25 +88,32 @@
 }
 
 /// Has a record decided, and says as which version.
-async fn decide(config: &FleetConfig, key: &str, kind: Kind, body: Vec<u8>, by: &str, why: &str) -> Exit {
+async fn decide(
+    config: &FleetConfig,
+    key: &str,
+    kind: RecordKind,
+    body: Vec<u8>,
+    by: &str,
+    why: &str,
+) -> Exit {
     let (id, key, by, why) = (rand::random(), key.to_owned(), by.to_owned(), why.to_owned());
-    match propose(config, &Proposal { id, key, kind, body, by, why, only_after: None }).await {
+    match propose(config, &Proposal { id, key, kind, body, by, why, expected_version: None }).await {
         Ok(version) => say(&format!("decided as version {version}\n")),
         Err(problem) => failed(&problem),
     }
 }
 
 /// An operator's word on a hall, a region or a hall's tier, or what it would do.
-async fn by_hand(config: &FleetConfig, what: Hand, words: &HallWords) -> Exit {
+async fn by_hand(config: &FleetConfig, what: OverrideAction, words: &HallWords) -> Exit {
     let HallWords { name, why, by, lasts, dry_run, .. } = words;
-    let said = match halls(config).await {
+    let said = match list_zones(config).await {
         Ok(said) => said,
         Err(problem) => return failed(&problem),
     };
-    let Some(plan) = said.leave(name) else {
-        let regions: BTreeSet<&str> = said.halls.iter().map(|hall| &hall.region[..]).collect();
+    let Some(plan) = said.plan_evacuation(name) else {
+        let regions: BTreeSet<&str> = said.zones.iter().map(|hall| &hall.region[..]).collect();
         let known =
-            said.halls.iter().map(|hall| &hall.name[..]).chain(regions).filter(|name| !name.is_empty());
+            said.zones.iter().map(|hall| &hall.name[..]).chain(regions).filter(|name| !name.is_empty());
         let known: Vec<&str> = known.collect();
         return failed(&format!(
             "`{name}` is no hall or region of this fleet; known: {}",
@@ -111,39 +124,40 @@
         return would(&said, what, &plan);
     }
     let until_ms = unix_ms() + lasts.as_millis() as u64;
-    let body = serde_json::to_vec(&ByHand { what, until_ms }).unwrap_or_default();
+    let body = serde_json::to_vec(&OperatorOverride { action: what, expires_unix_ms: until_ms })
+        .unwrap_or_default();
     let why = why.as_deref().unwrap_or_default();
-    decide(config, &format!("{HAND}{name}"), Kind::PLACE, body, by, why).await
+    decide(config, &format!("{OVERRIDE_KEY_PREFIX}{name}"), RecordKind::ZONE_STATES, body, by, why).await
 }
 
 /// Says what an operator's word would do.
-fn would(said: &Halls, what: Hand, plan: &Plan) -> Exit {
+fn would(said: &ZoneList, what: OverrideAction, plan: &EvacuationPlan) -> Exit {
     let left = plan.left.join(", ");
-    let of = said.halls.iter().filter(|hall| plan.left.contains(&hall.name));
-    let stands = |is: fn(State) -> bool| {
+    let of = said.zones.iter().filter(|hall| plan.left.contains(&hall.name));
+    let stands = |is: fn(ZoneState) -> bool| {
         let names: Vec<&str> =
             of.clone().filter(|hall| is(hall.state)).map(|hall| &hall.name[..]).collect();
         if names.is_empty() { "none".to_owned() } else { names.join(", ") }
     };
-    let back = stands(|state| state == State::Left);
+    let back = stands(|state| state == ZoneState::Left);
     match what {
-        Hand::Hold => return say(&format!("{left}: would stay as they are, whatever is seen\n")),
-        Hand::Release => return say(&format!("{left}: would go by themselves again\n")),
-        Hand::Return => {
+        OverrideAction::Hold => return say(&format!("{left}: would stay as they are, whatever is seen\n")),
+        OverrideAction::Release => return say(&format!("{left}: would go by themselves again\n")),
+        OverrideAction::Return => {
             return say(&format!("would be returned to by steps, as they are left now: {back}\n"));
         }
-        Hand::Leave => {}
+        OverrideAction::Leave => {}
     }
     let mut table = Table::new();
     table.load_preset(comfy_table::presets::NOTHING);
     table.set_header(["stays", "calls/s", "then/s", "has borne/s", ""]);
     for after in &plan.after {
-        let over = after.over();
+        let over = after.overload();
         table.add_row([
             after.name.clone(),
             format!("{:.1}", after.calls_per_s),
             format!("{:.1}", after.then_per_s),
-            format!("{:.1}", after.most_per_s),
+            format!("{:.1}", after.peak_per_s),
             if over > 1.0 { format!("{over:.2} times what it has borne") } else { String::new() },
         ]);
     }
@@ -152,16 +166,16 @@
         // To a String: it never fails.
         let _ = write!(text, ", and {:.1} be refused, as nothing else has their tier", plan.refused_per_s);
     }
-    let (stays, floor) = (plan.stays * 100.0, said.floor * 100.0);
+    let (stays, floor) = (plan.stays * 100.0, said.min_remaining_capacity * 100.0);
     let _ = write!(text, "\n{stays:.0}% of what was borne stays");
-    if plan.stays < said.floor {
+    if plan.stays < said.min_remaining_capacity {
         let _ = write!(text, ", less than the {floor:.0}% of which nothing is left by itself");
     }
     say(&format!("{text}\n{table}\n"))
 }
 
 async fn halls_of(config: &FleetConfig, json: bool) -> Exit {
-    let said = match halls(config).await {
+    let said = match list_zones(config).await {
         Ok(said) => said,
         Err(problem) => return failed(&problem),
     };
@@ -173,43 +187,43 @@
     table.set_header([
         "hall", "region", "stands", "calls/s", "bore/s", "lost", "takes", "tell", "lose", "why",
     ]);
-    for hall in &said.halls {
+    for hall in &said.zones {
         let stands = match hall.state {
-            State::Serving => "serving".to_owned(),
-            State::Leaving(part) => format!("leaving, {:.0}% goes there", part * 100.0),
-            State::Left => "left".to_owned(),
-            State::Returning(rate) => {
+            ZoneState::Serving => "serving".to_owned(),
+            ZoneState::Leaving(part) => format!("leaving, {:.0}% goes there", part * 100.0),
+            ZoneState::Left => "left".to_owned(),
+            ZoneState::Returning(rate) => {
                 format!("returning, {:.1} of {rate:.1}/s granted", hall.granted_per_s)
             }
         };
         table.add_row([
             hall.name.clone(),
             hall.region.clone(),
-            if hall.by_hand { format!("{stands}, by hand") } else { stands },
+            if hall.overridden { format!("{stands}, by hand") } else { stands },
             format!("{:.1}", hall.calls_per_s),
-            format!("{:.1}", hall.bore_per_s),
-            format!("{:.0}%", hall.lost * 100.0),
-            format!("{:.2} times", hall.stretch),
+            format!("{:.1}", hall.baseline_per_s),
+            format!("{:.0}%", hall.lost_share * 100.0),
+            format!("{:.2} times", hall.latency_ratio),
             hall.witnesses.to_string(),
             hall.losing.to_string(),
             hall.why.clone(),
         ]);
     }
     let mut text = format!("{table}\n");
-    for (from, cut) in &said.cut {
+    for (from, cut) in &said.cut_pairs {
         for (to, why) in cut {
             let _ = writeln!(text, "from {from} to {to}: {why}"); // to a String: it never fails
         }
     }
-    let leads = if said.leads { "which leads" } else { "which does not lead" };
+    let leads = if said.is_leader { "which leads" } else { "which does not lead" };
     let _ = writeln!(text, "as of version {}, by {}, {leads}", said.version, said.by);
     say(&text)
 }
 
 async fn note(config: &FleetConfig, text: &str, by: &str, why: &str) -> Result<u64, String> {
-    let (key, kind, body) = ("note".to_owned(), Kind::NOTE, text.as_bytes().to_vec());
+    let (key, kind, body) = ("note".to_owned(), RecordKind::NOTE, text.as_bytes().to_vec());
     let (id, by, why, only_after) = (rand::random(), by.to_owned(), why.to_owned(), None);
-    propose(config, &Proposal { id, key, kind, body, by, why, only_after }).await
+    propose(config, &Proposal { id, key, kind, body, by, why, expected_version: only_after }).await
 }
 
 /// A note again and again until told to end, a line for each.
@@ -236,13 +250,13 @@
 /// What a follower does with a view for now: it says that it acts on it.
 pub(crate) struct Says;
 
-impl Acts for Says {
-    fn acts(&mut self, acted: &Acted, hash: Hash) {
+impl ViewHandler for Says {
+    fn view_applied(&mut self, acted: &AppliedRecords, hash: Hash) {
         let (version, records) = (acted.version().0, acted.records().count());
         info!(version, ?hash, records, "fleet: acts on");
     }
 
-    fn stands(&mut self, _: Standing) {}
+    fn status_changed(&mut self, _: SubscriberStatus) {}
 }
 
 pub(crate) fn say(text: &str) -> Exit {
@@ -312,11 +326,11 @@
 }
 
 async fn status(config: &FleetConfig, json: bool) -> Exit {
-    let all = describe(config).await;
+    let all = describe_servers(config).await;
     let up = all.iter().filter(|(_, described)| described.is_ok()).count();
     let majority = up > all.len() / 2;
     if json {
-        let one = |(name, described): &(String, Result<Described, String>)| match described {
+        let one = |(name, described): &(String, Result<ServerStatus, String>)| match described {
             Ok(described) => json!(described),
             Err(problem) => json!({"name": name, "problem": problem}),
         };
@@ -328,8 +342,8 @@
             // To a String: it never fails.
             let _ = match described {
                 Ok(d) => {
-                    let role = if d.leads { "leads" } else { "follows" };
-                    let (term, version, hash, keepers) = (d.term, d.version, &d.hash, &d.keepers);
+                    let role = if d.is_leader { "leads" } else { "follows" };
+                    let (term, version, hash, keepers) = (d.term, d.version, &d.hash, &d.voters);
                     writeln!(
                         text,
                         "{name}  {role}  term {term}  version {version}  {hash}  of keepers {keepers:?}  evidence of {}",
@@ -348,7 +362,7 @@
 }
 
 async fn listed(config: &FleetConfig, json: bool) -> Exit {
-    let listed = match members(config).await {
+    let listed = match list_members(config).await {
         Ok(listed) => listed,
         Err(problem) => return failed(&problem),
     };
@@ -358,24 +372,24 @@
     let mut table = Table::new();
     table.load_preset(comfy_table::presets::NOTHING);
     table.set_header(["name", "stands", "role", "hall", "at", "build", "format", "incarnation"]);
-    for Known { member: m, standing } in &listed.members {
+    for MemberEntry { member: m, status: standing } in &listed.members {
         table.add_row([
             m.name.clone(),
             format!("{standing:?}").to_lowercase(),
             format!("{:?}", m.role).to_lowercase(),
-            m.hall.clone(),
-            m.at.to_string(),
+            m.zone.clone(),
+            m.address.to_string(),
             m.build.clone(),
             m.format.to_string(),
-            format!("{}.{}", m.incarnation, m.renewed),
+            format!("{}.{}", m.incarnation, m.rejoins),
         ]);
     }
-    let there = listed.members.iter().filter(|known| known.standing != MemberStands::Gone).count();
+    let there = listed.members.iter().filter(|known| known.status != MemberStands::Down).count();
     say(&format!("{table}\n{there} there, by {}\n", listed.by))
 }
 
 async fn log(config: &FleetConfig, json: bool) -> Exit {
-    let all = describe(config).await;
+    let all = describe_servers(config).await;
     let newest = all.into_iter().filter_map(|(_, described)| described.ok()).max_by_key(|d| d.version);
     let Some(newest) = newest else { return failed("no keeper is reached") };
     let mut records = newest.records;
--- a/crates/curlewhub/src/fleet_config.rs
+++ b/crates/curlewhub/src/fleet_config.rs
@@ -4,11 +4,11 @@
 use crate::fleet::{asked, failed, say};
 use clap::{Args, Subcommand};
 use comfy_table::Table;
-use curlewhub_fleet::configuration::{
+use curlewhub_control_plane::configuration::{
     Canary, ConfigAction, ConfigCommand, ConfigNumber, RolloutPlan, Settings,
 };
-use curlewhub_fleet_node::call::{command_config, config_status};
-use curlewhub_fleet_node::config::FleetConfig;
+use curlewhub_control_plane_node::admin_client::{command_config, config_status};
+use curlewhub_control_plane_node::config::FleetConfig;
 use curlewhub_rollout::reports::{Counts, Standing};
 use curlewhub_rollout::rollout::Phase;
 use curlewhub_rollout::settings;
--- a/crates/curlewhub/src/member.rs
+++ b/crates/curlewhub/src/member.rs
@@ -4,17 +4,19 @@
 use crate::reload::Reloader;
 use curlewhub_balance::{ClassId, Outcome, ZoneId, ZoneRight};
 use curlewhub_config::Config;
-use curlewhub_fleet::acted::Acted;
-use curlewhub_fleet::configuration::SettingValues;
-use curlewhub_fleet::evidence::{Ended, Witness};
-use curlewhub_fleet::record::Hash;
-use curlewhub_fleet_node::{Acts, Flow, Manner, Standing, Traffic, follow};
-use curlewhub_locality::part::Right;
-use curlewhub_locality::places::place;
+use curlewhub_control_plane::applied::AppliedRecords;
+use curlewhub_control_plane::configuration::SettingValues;
+use curlewhub_control_plane::evidence::{CallOutcome, CallRecorder};
+use curlewhub_control_plane::record::Hash;
+use curlewhub_control_plane_node::{
+    Flow, SubscriberOptions, SubscriberStatus, Traffic, ViewHandler, run_subscriber,
+};
 use curlewhub_runtime::clock::Clock;
 use curlewhub_runtime::events::Command;
 use curlewhub_runtime::figures::{Beside, Figures};
 use curlewhub_runtime::sight::{Attempt, Blind, Sight};
+use curlewhub_zone_failover::zone_policy::ZoneAccess;
+use curlewhub_zone_failover::zone_states::tier_zone;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -31,7 +33,7 @@
 
 /// A sidecar's part in its fleet: what its driver sees goes to the keepers, and what they decide is held here.
 pub struct Member {
-    witness: Rc<RefCell<Witness>>,
+    witness: Rc<RefCell<CallRecorder>>,
     began: Instant,
 }
 
@@ -39,24 +41,29 @@
     fn began(&self, attempt: Attempt, class: ClassId, zone: &dyn Fn() -> Option<ZoneId>) {
         if let Some(zone) = zone() {
             let (hall, class) = (zone.0 as usize, class.0);
-            self.witness.borrow_mut().began(self.began.elapsed(), (attempt.0.0, attempt.1.0), hall, class);
+            self.witness.borrow_mut().call_started(
+                self.began.elapsed(),
+                (attempt.0.0, attempt.1.0),
+                hall,
+                class,
+            );
         }
     }
 
     fn ended(&self, attempt: Attempt, outcome: Outcome, took: Duration) {
         let how = match outcome {
-            Outcome::Ok => Ended::Served,
-            Outcome::TimedOut => Ended::Silent,
-            Outcome::ConnectFailed | Outcome::Reset => Ended::Gone,
-            Outcome::Full => Ended::Full,
-            Outcome::Error => Ended::Error,
-            Outcome::Cancelled | Outcome::Moot | Outcome::LocalFault => Ended::Moot,
+            Outcome::Ok => CallOutcome::Served,
+            Outcome::TimedOut => CallOutcome::TimedOut,
+            Outcome::ConnectFailed | Outcome::Reset => CallOutcome::Unreachable,
+            Outcome::Full => CallOutcome::Rejected,
+            Outcome::Error => CallOutcome::Failed,
+            Outcome::Cancelled | Outcome::Moot | Outcome::LocalFault => CallOutcome::Cancelled,
         };
-        self.witness.borrow_mut().ended((attempt.0.0, attempt.1.0), how, took);
+        self.witness.borrow_mut().call_finished((attempt.0.0, attempt.1.0), how, took);
     }
 
     fn probed(&self, zone: ZoneId, answered: bool) {
-        self.witness.borrow_mut().probed(zone.0 as usize, answered);
+        self.witness.borrow_mut().probe_finished(zone.0 as usize, answered);
     }
 }
 
@@ -90,9 +97,9 @@
     }
 }
 
-impl Acts for Holds {
-    fn acts(&mut self, acted: &Acted, hash: Hash) {
-        Says.acts(acted, hash);
+impl ViewHandler for Holds {
+    fn view_applied(&mut self, acted: &AppliedRecords, hash: Hash) {
+        Says.view_applied(acted, hash);
         if let Some(begun) = self.begun.take() {
             let _ = begun.send(()); // nobody waits for it any more
         }
@@ -102,30 +109,32 @@
         self.reloader.fleet(values)
     }
 
-    fn may(&mut self, now: Duration, rights: &[(String, Right)]) {
+    fn zone_access_changed(&mut self, now: Duration, rights: &[(String, ZoneAccess)]) {
         let zoned = rights.iter().filter_map(|(hall, right)| {
             let right = match *right {
-                Right::Open => ZoneRight::Open,
-                Right::Part(part) => ZoneRight::Part(part),
+                ZoneAccess::Open => ZoneRight::Open,
+                ZoneAccess::Share(part) => ZoneRight::Part(part),
                 // The same moment on the module's clock, which is as steady.
-                Right::Rate(per_s, until) => {
+                ZoneAccess::Rate(per_s, until) => {
                     ZoneRight::Rate { per_s, until: self.clock.now() + until.saturating_sub(now) }
                 }
-                Right::Closed => ZoneRight::Closed,
-                Right::Dark => ZoneRight::Dark,
+                ZoneAccess::Closed => ZoneRight::Closed,
+                ZoneAccess::Unreachable => ZoneRight::Dark,
             };
             Some((self.zone(hall)?, right))
         });
         let zoned = zoned.collect();
-        let closed = |(_, right): &&(String, Right)| matches!(right, Right::Closed | Right::Dark);
+        let closed = |(_, right): &&(String, ZoneAccess)| {
+            matches!(right, ZoneAccess::Closed | ZoneAccess::Unreachable)
+        };
         self.closed = rights.iter().filter(closed).count() as u64;
         let _ = self.commands.send(Command::Zones(zoned)); // fails only while the process ends
-        let told = |(hall, right): &(String, Right)| match right {
-            Right::Open => None,
-            Right::Part(part) => Some(format!("{hall}: {:.0}%", part * 100.0)),
-            Right::Rate(..) => Some(format!("{hall}: returning")),
-            Right::Closed => Some(format!("{hall}: closed")),
-            Right::Dark => Some(format!("{hall}: dark")),
+        let told = |(hall, right): &(String, ZoneAccess)| match right {
+            ZoneAccess::Open => None,
+            ZoneAccess::Share(part) => Some(format!("{hall}: {:.0}%", part * 100.0)),
+            ZoneAccess::Rate(..) => Some(format!("{hall}: returning")),
+            ZoneAccess::Closed => Some(format!("{hall}: closed")),
+            ZoneAccess::Unreachable => Some(format!("{hall}: dark")),
         };
         let held: Vec<String> = rights.iter().filter_map(told).collect();
         let held = if held.is_empty() { "all open".to_owned() } else { held.join(", ") };
@@ -136,20 +145,28 @@
         }
     }
 
-    fn probe(&mut self, hall: &str, count: u32) {
+    fn probe_zone(&mut self, hall: &str, count: u32) {
         if let Some(zone) = self.zone(hall) {
             // It fails only while the process ends.
             let _ = self.commands.send(Command::ProbeZone { zone, count, within: PROBE_MOST });
         }
     }
 
-    fn carried(&mut self, traffic: &Traffic) {
+    fn traffic_counted(&mut self, traffic: &Traffic) {
         self.messages = traffic.total();
         self.lost = traffic.losses().values().sum();
     }
 
-    fn stands(&mut self, standing: Standing) {
-        let Standing { version, age, counts, not_taken, members, traffic: (said, heard), .. } = standing;
+    fn status_changed(&mut self, standing: SubscriberStatus) {
+        let SubscriberStatus {
+            version,
+            age,
+            counts,
+            rejected_records: not_taken,
+            members,
+            traffic: (said, heard),
+            ..
+        } = standing;
         let gauge = |name, value| Beside { name, value, counts: false };
         let count = |name, value| Beside { name, value, counts: true };
         let mut figures = vec![gauge("fleet_version", version)];
@@ -159,13 +176,13 @@
         figures.extend(age.map(|age| gauge("config_age_ms", age.as_millis() as u64)));
         figures.extend([
             gauge("config_version", standing.config.0),
-            gauge("config_refused", u64::from(standing.refuses_config)),
+            gauge("config_refused", u64::from(standing.config_refused)),
             count("config_refusals", standing.config_refusals),
             gauge("fleet_not_taken", not_taken as u64),
             gauge("fleet_halls_closed", self.closed),
             gauge("fleet_members", members as u64),
-            count("fleet_contradictions", counts.contradictions),
-            count("fleet_unanswered", counts.unanswered),
+            count("fleet_contradictions", counts.conflicts),
+            count("fleet_unanswered", counts.timeouts),
             count("fleet_said_bytes", said),
             count("fleet_heard_bytes", heard),
             count("fleet_said_messages", self.messages.messages_out),
@@ -215,10 +232,14 @@
     };
     let (areas, tier) = (&config.names.areas, config.settings.tier);
     let hall = areas.get(config.settings.zone.0 as usize).map_or("", |hall| hall);
-    let halls: Vec<String> = areas.iter().map(|hall| place(hall, tier)).collect();
-    let witness = Rc::new(RefCell::new(Witness::new(hall, halls.clone())));
+    let halls: Vec<String> = areas.iter().map(|hall| tier_zone(hall, tier)).collect();
+    let witness = Rc::new(RefCell::new(CallRecorder::new(hall, halls.clone())));
     let began = Instant::now();
-    let manner = Manner { beside: true, witness: Some((witness.clone(), began)), halls: halls.clone() };
+    let manner = SubscriberOptions {
+        share_address: true,
+        recorder: Some((witness.clone(), began)),
+        zones: halls.clone(),
+    };
     let (figures, commands) = (figures.clone(), commands.clone());
     let (begun, begins) = oneshot::channel();
     let (closed, told, messages, lost) = Default::default();
@@ -232,7 +253,7 @@
                 std::future::pending().await
             }
         };
-        if let Err(problem) = follow(&fleet, manner, &mut holds, leaves).await {
+        if let Err(problem) = run_subscriber(&fleet, manner, &mut holds, leaves).await {
             error!(problem, "fleet: not joined; going on alone");
         }
     });
--- a/crates/curlewhub/src/reload.rs
+++ b/crates/curlewhub/src/reload.rs
@@ -2,7 +2,7 @@
 
 use crate::logs::{LogControl, levels};
 use curlewhub_config::{Change, Loaded};
-use curlewhub_fleet::configuration::SettingValues;
+use curlewhub_control_plane::configuration::SettingValues;
 use curlewhub_runtime::events::Call;
 use curlewhub_runtime::figures::Figures;
 use std::cell::RefCell;
--- a/crates/curlewhub/src/serve.rs
+++ b/crates/curlewhub/src/serve.rs
@@ -4,7 +4,7 @@
 use crate::reload::Reloader;
 use curlewhub_balance::Balancer;
 use curlewhub_config::{Config, Loaded};
-use curlewhub_links::Terms;
+use curlewhub_connection_quota::Terms;
 use curlewhub_runtime::bans::Bans;
 use curlewhub_runtime::budget::Budget;
 use curlewhub_runtime::clock::Clock;
--- a/crates/curlewhub/tests/stored_forms.rs
+++ b/crates/curlewhub/tests/stored_forms.rs
@@ -1,6 +1,6 @@
 //! What scripts call and read: commands, flags and printed JSON, the same as at commit d7660a1.
 
-#[path = "../../fleet/tests/support/fixture.rs"]
+#[path = "../../control-plane/tests/support/fixture.rs"]
 mod fixture;
 
 use fixture::{assert_same, assert_same_text};
@@ -89,7 +89,7 @@
     assert_same_text("snapshot_shown.json", &format!("{shown}\n"));
 }
 
-/// Where no server is reached; what a server answers is fixed in curlewhub-fleet-node's tests.
+/// Where no server is reached; what a server answers is fixed in curlewhub-control-plane-node's tests.
 #[test]
 fn the_status_of_a_fleet_is_printed_with_the_same_names() {
     let folder = std::env::temp_dir().join(format!("curlewhub-forms-fleet-{}", std::process::id()));
--- a/crates/keys/tests/stored_forms.rs
+++ b/crates/keys/tests/stored_forms.rs
@@ -1,6 +1,6 @@
 //! Journals: the same bytes and file names as commit d7660a1 wrote, read and written.
 
-#[path = "../../fleet/tests/support/fixture.rs"]
+#[path = "../../control-plane/tests/support/fixture.rs"]
 mod fixture;
 
 use curlewhub_keys::{Entry, Journal, SlotWrite, hash, read, zones_hash};
--- a/crates/lab/src/capacity/measure/control.rs
+++ b/crates/lab/src/capacity/measure/control.rs
@@ -3,7 +3,7 @@
 use super::{Effort, Measured, Point, Subject, sizes};
 use crate::capacity::file::Role;
 use crate::capacity::target::{CONSENSUS_SERVERS, Dimension, RACK, REGIONS, SIDECARS, ZONES};
-use curlewhub_fleet_model::{Evidence, Fleet, Purpose, Spec, Traffic, Trouble};
+use curlewhub_control_plane_model::{Evidence, Fault, Fleet, Purpose, SimulationSpec, Traffic};
 use rayon::prelude::*;
 use std::time::Duration;
 
@@ -62,15 +62,15 @@
         }
     }
 
-    fn spec(&self) -> Spec {
+    fn spec(&self) -> SimulationSpec {
         let regions = (REGIONS as usize).min(self.zones);
-        Spec {
-            halls: (0..self.zones).map(|zone| zone % regions).collect(),
-            keepers: (0..self.servers).map(|server| server % self.zones).collect(),
+        SimulationSpec {
+            zones: (0..self.zones).map(|zone| zone % regions).collect(),
+            consensus_servers: (0..self.servers).map(|server| server % self.zones).collect(),
             sidecars: (0..self.sidecars).map(|sidecar| sidecar % self.zones).collect(),
-            members: self.members,
+            membership: self.members,
             evidence: Evidence::Well,
-            ..Spec::small(0, 0)
+            ..SimulationSpec::small(0, 0)
         }
     }
 }
@@ -116,7 +116,7 @@
     }
 
     fn sidecars(&self) -> std::ops::Range<usize> {
-        self.fleet.keepers()..self.fleet.count()
+        self.fleet.consensus_servers()..self.fleet.count()
     }
 
     /// Rates since then, by process.
@@ -133,7 +133,7 @@
         let before = self.traffic();
         self.disturbed(plan, self.times.steady);
         let rates = self.rates(&before, self.times.steady);
-        let (servers, sidecars) = rates.split_at(self.fleet.keepers());
+        let (servers, sidecars) = rates.split_at(self.fleet.consensus_servers());
         Steady {
             sidecar_mean: mean(sidecars),
             sidecar_worst: worst(sidecars),
@@ -174,8 +174,8 @@
                 change_at = changes.map_or(Duration::MAX, |every| change_at + every);
             } else {
                 let node = self.sidecars().start + restarted % self.sidecars().len();
-                self.fleet.befalls(node, Trouble::Crash);
-                self.fleet.befalls(node, Trouble::Heal);
+                self.fleet.inject(node, Fault::Crash);
+                self.fleet.inject(node, Fault::Recover);
                 restarted += 1;
                 restart_at = restarts.map_or(Duration::MAX, |every| restart_at + every);
             }
@@ -190,21 +190,21 @@
             let before = self.traffic();
             self.fleet.run(SECOND);
             let rates = self.rates(&before, SECOND);
-            let (servers, sidecars) = rates.split_at(self.fleet.keepers());
+            let (servers, sidecars) = rates.split_at(self.fleet.consensus_servers());
             event.second = event.second.max(worst(sidecars).bytes);
             event.server_second = event.server_second.max(worst(servers).messages);
         }
         let rates = self.rates(&whole, SECOND * self.times.followed);
-        event.mean = worst(&rates[self.fleet.keepers()..]).bytes;
+        event.mean = worst(&rates[self.fleet.consensus_servers()..]).bytes;
         event
     }
 
     /// Kills the first so many sidecars of the first zone, and starts them again.
     fn lost_and_back(&mut self, count: usize, zones: usize) -> (Event, Event) {
         let gone: Vec<usize> = self.sidecars().step_by(zones).take(count).collect();
-        gone.iter().for_each(|node| self.fleet.befalls(*node, Trouble::Crash));
+        gone.iter().for_each(|node| self.fleet.inject(*node, Fault::Crash));
         let lost = self.followed();
-        gone.iter().for_each(|node| self.fleet.befalls(*node, Trouble::Heal));
+        gone.iter().for_each(|node| self.fleet.inject(*node, Fault::Recover));
         let back = self.followed();
         (lost, back)
     }
--- a/crates/lab/src/capacity/measure/membership.rs
+++ b/crates/lab/src/capacity/measure/membership.rs
@@ -4,7 +4,7 @@
 use super::{Effort, Measured, Point, Subject};
 use crate::capacity::file::Role;
 use crate::capacity::target::{Dimension, SIDECARS};
-use curlewhub_fleet::members::{Member, Members, Role as MemberRole};
+use curlewhub_control_plane::membership::{Member, Membership, Role as MemberRole};
 use foca::{Codec, Header, Message, PostcardCodec};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -17,12 +17,12 @@
     Member {
         name: format!("sidecar-{number}"),
         role: MemberRole::Sidecar,
-        hall: format!("zone-{}", number % 7),
-        at: SocketAddr::from((Ipv4Addr::from(0x0a00_0000 + number as u32), 7400)),
+        zone: format!("zone-{}", number % 7),
+        address: SocketAddr::from((Ipv4Addr::from(0x0a00_0000 + number as u32), 7400)),
         build: String::new(),
         format: 2,
         incarnation: 1,
-        renewed: 0,
+        rejoins: 0,
     }
 }
 
@@ -41,12 +41,12 @@
 }
 
 /// One that knows so many others.
-fn members(known: usize) -> Members {
-    let mut members = Members::new(member(0), &[], 7, NOW);
+fn membership(known: usize) -> Membership {
+    let mut members = Membership::new(member(0), &[], 7, NOW);
     for first in (1..=known).step_by(NAMED) {
         let named = first..(first + NAMED).min(known + 1);
         // Sound, and within its bounds.
-        let _ = members.heard(NOW, &packet(named));
+        let _ = members.handle_packet(NOW, &packet(named));
     }
     members
 }
@@ -83,7 +83,7 @@
         grows_with: Dimension::Sidecars,
         run: "the membership of one process, told of so many others by packets that name 20 each",
     };
-    measured.slope(subject.through(points(&|known| bytes_each(copies, |_| members(known)))));
+    measured.slope(subject.through(points(&|known| bytes_each(copies, |_| membership(known)))));
     let subject = Subject {
         id: "control.packet_time.by_sidecars",
         quantity: "processor time of a packet that names 20 known members",
@@ -92,8 +92,8 @@
     };
     let named = packet(1..NAMED + 1);
     let heard = |known: usize| {
-        let mut members = members(known);
-        microseconds_each(effort, || members.heard(NOW, &named).is_ok())
+        let mut members = membership(known);
+        microseconds_each(effort, || members.handle_packet(NOW, &named).is_ok())
     };
     let baseline = points(&|_| microseconds_each(effort, || read(&named)));
     measured.slope(subject.beside(points(&heard), baseline, "reading the same packet's names"));
--- a/crates/lab/src/capacity/measure/server.rs
+++ b/crates/lab/src/capacity/measure/server.rs
@@ -4,10 +4,10 @@
 use super::{Effort, Measured, Point, Subject, sizes};
 use crate::capacity::file::Role;
 use crate::capacity::target::{Dimension, SIDECARS};
-use curlewhub_fleet::evidence::{Calls, Digest, Evidence};
-use curlewhub_fleet::record::{Kind, Proposal, Record};
-use curlewhub_fleet::view::View;
-use curlewhub_fleet::wire::{Said, Who};
+use curlewhub_control_plane::evidence::{CallCounts, Digest, Evidence};
+use curlewhub_control_plane::protocol::{Message, PeerId};
+use curlewhub_control_plane::record::{Proposal, Record, RecordKind};
+use curlewhub_control_plane::view::View;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -19,20 +19,33 @@
 const ZONES: usize = 7;
 
 fn digest(sequence: u64, rows: usize) -> Digest {
-    let calls = Calls { served: 3, took_ms: 120, usual_ms: 118, ago_ms: 20, ..Calls::default() };
-    let rows: BTreeMap<String, Calls> = (0..rows).map(|row| (format!("zone-{row:03}"), calls)).collect();
-    Digest { sequence, at_ms: 100_000, hall: "zone-003".to_owned(), over_ms: 1_000, rows }
+    let calls = CallCounts {
+        served: 3,
+        took_ms: 120,
+        expected_ms: 118,
+        last_served_ms_ago: 20,
+        ..CallCounts::default()
+    };
+    let rows: BTreeMap<String, CallCounts> =
+        (0..rows).map(|row| (format!("zone-{row:03}"), calls)).collect();
+    Digest {
+        sequence,
+        sent_at_ms: 100_000,
+        zone: "zone-003".to_owned(),
+        interval_ms: 1_000,
+        calls_by_zone: rows,
+    }
 }
 
-fn who(sidecar: usize) -> Who {
-    Who { name: format!("sidecar-{sidecar}"), incarnation: 1 }
+fn who(sidecar: usize) -> PeerId {
+    PeerId { name: format!("sidecar-{sidecar}"), incarnation: 1 }
 }
 
 fn evidence(sidecars: usize) -> Evidence {
     let mut evidence = Evidence::default();
     for sidecar in 0..sidecars {
         // Within its bounds it is always taken.
-        let _ = evidence.heard(NOW, &who(sidecar), &digest(1, ZONES));
+        let _ = evidence.record(NOW, &who(sidecar), &digest(1, ZONES));
     }
     evidence
 }
@@ -41,13 +54,13 @@
     let proposal = Proposal {
         id: key as u64,
         key: format!("service/{key}"),
-        kind: Kind::NOTE,
+        kind: RecordKind::NOTE,
         body: vec![7; BODY_BYTES],
         by: "operator".to_owned(),
         why: "a change of settings".to_owned(),
-        only_after: None,
+        expected_version: None,
     };
-    Record { version: view.version().next(), term: 1, before: view.hash(), at_ms: 1, proposal }
+    Record { version: view.version().next(), term: 1, previous_hash: view.hash(), at_ms: 1, proposal }
 }
 
 fn view(keys: usize) -> View {
@@ -60,7 +73,7 @@
     view
 }
 
-fn size(said: &Said) -> f64 {
+fn size(said: &Message) -> f64 {
     postcard::experimental::serialized_size(said).unwrap_or_default() as f64
 }
 
@@ -99,7 +112,7 @@
         let from = who(size as usize / 2);
         microseconds_each(effort, || {
             sequence += 1;
-            evidence.heard(NOW, &from, &digest(sequence, ZONES))
+            evidence.record(NOW, &from, &digest(sequence, ZONES))
         })
     };
     let decoded = |_: f64| {
@@ -119,7 +132,7 @@
     };
     let summed = |size: f64| {
         let evidence = evidence(size as usize);
-        microseconds_each(effort, || evidence.pairs(NOW).len())
+        microseconds_each(effort, || evidence.zone_pairs(NOW).len())
     };
     measured.slope(subject.beside(
         points(&sizes, summed),
@@ -142,7 +155,7 @@
 }
 
 fn size_of_digest(rows: usize) -> f64 {
-    size(&Said::Saw(digest(1, rows)))
+    size(&Message::Evidence(digest(1, rows)))
 }
 
 fn view_slopes(effort: Effort, measured: &mut Measured) {
@@ -156,7 +169,7 @@
         grows_with: Dimension::ViewKeys,
         run,
     };
-    measured.slope(subject.through(points(&sizes, |keys| size(&Said::Snapshot(view(keys as usize))))));
+    measured.slope(subject.through(points(&sizes, |keys| size(&Message::Snapshot(view(keys as usize))))));
     let copies = if effort == Effort::Whole { 50 } else { 5 };
     let subject = Subject {
         id: "control.view_memory.by_keys",
--- a/crates/lab/src/capacity/rows.rs
+++ b/crates/lab/src/capacity/rows.rs
@@ -14,7 +14,7 @@
 /// Changes in the busiest hour, as the case has it.
 const CHANGES_IN_AN_HOUR: f64 = 840.0;
 /// Bytes of a full packet of membership.
-const PACKET_BYTES: f64 = curlewhub_fleet::members::PACKET_MOST as f64;
+const PACKET_BYTES: f64 = curlewhub_control_plane::membership::MAX_PACKET_BYTES as f64;
 const HOUR_SECONDS: f64 = 3_600.0;
 const DAY_SECONDS: f64 = 86_400.0;
 
--- a/crates/lab/src/fleet_scale.rs
+++ b/crates/lab/src/fleet_scale.rs
@@ -1,7 +1,7 @@
 //! `curlewhub-lab fleet-scale`: a fleet's own processes at sizes that no machine holds as processes, in simulated time.
 
 use comfy_table::{Table, presets};
-use curlewhub_fleet_model::{Evidence, Fleet, Spec};
+use curlewhub_control_plane_model::{Evidence, Fleet, SimulationSpec};
 use rayon::prelude::*;
 use std::time::Duration;
 
@@ -101,26 +101,26 @@
 }
 
 fn all_newest(fleet: &Fleet) -> bool {
-    let newest = (0..fleet.keepers()).map(|n| fleet.version(n)).max();
+    let newest = (0..fleet.consensus_servers()).map(|n| fleet.version(n)).max();
     (0..fleet.count()).all(|n| Some(fleet.version(n)) == newest)
 }
 
 /// Share of a core of the busiest keeper, over a time.
 fn busiest(fleet: &Fleet, before: &[Duration], over: Duration) -> f64 {
-    let of = |n: usize| (fleet.worked(n) - before[n]).as_secs_f64() / over.as_secs_f64();
-    (0..fleet.keepers()).map(of).fold(0.0, f64::max)
+    let of = |n: usize| (fleet.busy_time(n) - before[n]).as_secs_f64() / over.as_secs_f64();
+    (0..fleet.consensus_servers()).map(of).fold(0.0, f64::max)
 }
 
 fn worked(fleet: &Fleet) -> Vec<Duration> {
-    (0..fleet.keepers()).map(|n| fleet.worked(n)).collect()
+    (0..fleet.consensus_servers()).map(|n| fleet.busy_time(n)).collect()
 }
 
 fn play(scale: &Scale, size: usize, seed: u64) -> Played {
     let (regions, halls) = (usize::from(scale.regions), usize::from(scale.halls));
-    let spec = Spec {
-        members: size <= scale.members,
+    let spec = SimulationSpec {
+        membership: size <= scale.members,
         evidence: Evidence::Well,
-        ..Spec::wide(regions, halls, usize::from(scale.keepers), size)
+        ..SimulationSpec::wide(regions, halls, usize::from(scale.keepers), size)
     };
     let mut fleet = Fleet::new(spec, seed);
     // Some history, so that who has nothing has something to be told.
@@ -130,27 +130,27 @@
         fleet.run(Duration::from_millis(100));
     }
     fleet.run(SECOND * 10);
-    let sidecars: Vec<usize> = (fleet.keepers()..fleet.count()).collect();
-    sidecars.iter().for_each(|n| fleet.befalls(*n, curlewhub_fleet_model::Trouble::Forget));
+    let sidecars: Vec<usize> = (fleet.consensus_servers()..fleet.count()).collect();
+    sidecars.iter().for_each(|n| fleet.inject(*n, curlewhub_control_plane_model::Fault::LoseDisk));
     fleet.run(SECOND);
-    sidecars.iter().for_each(|n| fleet.befalls(*n, curlewhub_fleet_model::Trouble::Heal));
+    sidecars.iter().for_each(|n| fleet.inject(*n, curlewhub_control_plane_model::Fault::Recover));
     let (began, before) = (fleet.now(), worked(&fleet));
     let joined = fleet.run_until(SECOND * 60, all_newest).then(|| fleet.now() - began);
     fleet.run((began + SECOND * 3).saturating_sub(fleet.now()));
     let mut keeper_after = busiest(&fleet, &before, fleet.now() - began);
     // In quiet, and with versions.
     fleet.run(SECOND * 15);
-    fleet.times = curlewhub_fleet_model::Times::default();
-    let (before, passed) = (worked(&fleet), fleet.passed);
+    fleet.latencies = curlewhub_control_plane_model::LatencyHistogram::default();
+    let (before, passed) = (worked(&fleet), fleet.totals);
     for _ in 0..20 {
         fleet.propose_anywhere();
         fleet.run(APART);
     }
-    let (took, times) = (APART * 20, std::mem::take(&mut fleet.times));
-    let bytes = (fleet.passed.bytes - passed.bytes) as f64 / took.as_secs_f64() / size.max(1) as f64;
+    let (took, times) = (APART * 20, std::mem::take(&mut fleet.latencies));
+    let bytes = (fleet.totals.bytes - passed.bytes) as f64 / took.as_secs_f64() / size.max(1) as f64;
     let keeper = busiest(&fleet, &before, took);
     // A region is gone for ten seconds.
-    fleet.net.borders = (0..regions * halls)
+    fleet.network.isolated_zones = (0..regions * halls)
         .filter(|hall| hall % regions == 0)
         .flat_map(|h| [(h, true), (h, false)])
         .collect();
@@ -158,7 +158,7 @@
         fleet.propose_anywhere();
         fleet.run(APART);
     }
-    fleet.net.borders.clear();
+    fleet.network.isolated_zones.clear();
     let (began, before) = (fleet.now(), worked(&fleet));
     let healed = fleet.run_until(SECOND * 60, all_newest).then(|| fleet.now() - began);
     fleet.run((began + SECOND * 3).saturating_sub(fleet.now()));
@@ -172,7 +172,7 @@
         bytes,
         keeper,
         keeper_after,
-        dropped: fleet.passed.dropped,
-        broken: fleet.rules.broken.len(),
+        dropped: fleet.totals.dropped,
+        broken: fleet.invariants.violations.len(),
     }
 }
--- a/crates/lab/src/paper.rs
+++ b/crates/lab/src/paper.rs
@@ -3,9 +3,9 @@
 use crate::chart::{self, Chart, Line};
 use crate::sim::mean_and_half;
 use comfy_table::{Table, presets};
-use curlewhub_loss::field::Field;
-use curlewhub_loss::fleet::{Plan, Sight, play};
-use curlewhub_loss::{CAPACITY, Service, erlang_b, lower_bound};
+use curlewhub_loss_model::field::Field;
+use curlewhub_loss_model::fleet::{Plan, Sight, play};
+use curlewhub_loss_model::{CAPACITY, Service, erlang_b, lower_bound};
 use indicatif::{ParallelProgressIterator, ProgressBar, ProgressStyle};
 use rayon::prelude::*;
 use serde::Serialize;
--- a/crates/loss/tests/loss.rs
+++ b/crates/loss-model/tests/loss.rs
@@ -1,8 +1,8 @@
 //! The loss model against what is known of it.
 
-use curlewhub_loss::field::Field;
-use curlewhub_loss::fleet::{Plan, Sight, play};
-use curlewhub_loss::{CAPACITY, Service, erlang_b, lower_bound};
+use curlewhub_loss_model::field::Field;
+use curlewhub_loss_model::fleet::{Plan, Sight, play};
+use curlewhub_loss_model::{CAPACITY, Service, erlang_b, lower_bound};
 
 fn plan(lambda: f64, choices: usize, service: Service) -> Plan {
     let (servers, capacity, sight) = (1000, CAPACITY, Sight::True);
--- a/crates/checker/src/subscribers.rs
+++ b/crates/model-checker/src/subscribers.rs
@@ -6,10 +6,10 @@
 //! version goes back, nothing is held that was not decided, and from any state without further faults all reach the newest
 //! version.
 
-use curlewhub_fleet::holder::{Action, Holder as Subscriber};
-use curlewhub_fleet::record::{Hash, Kind, Proposal, Record, Version};
-use curlewhub_fleet::view::View;
-use curlewhub_fleet::wire::{Said, Who};
+use curlewhub_control_plane::protocol::{Message, PeerId};
+use curlewhub_control_plane::record::{Hash, Proposal, Record, RecordKind, Version};
+use curlewhub_control_plane::subscriber::{Action, Subscriber};
+use curlewhub_control_plane::view::View;
 use stateright::{Model, Property};
 use std::collections::BTreeSet;
 use std::hash::Hasher;
@@ -47,7 +47,7 @@
 
 /// A message in flight.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Message {
+pub struct InFlightMessage {
     from: usize,
     to: usize,
     /// In its wire form, which is canonical.
@@ -74,7 +74,7 @@
 pub struct State {
     decided: u64,
     sidecars: Vec<Sidecar>,
-    in_flight: BTreeSet<Message>,
+    in_flight: BTreeSet<InFlightMessage>,
     crashes: u8,
 }
 
@@ -86,9 +86,9 @@
     /// A timer of a sidecar fires.
     Tick(usize),
     /// A message is received; with `true` it stays in flight and may be received again.
-    Receive(Message, bool),
+    Receive(InFlightMessage, bool),
     /// A message is lost.
-    Lose(Message),
+    Lose(InFlightMessage),
     /// A sidecar restarts, with its disk (`true`) or without.
     Restart(usize, bool),
 }
@@ -105,9 +105,16 @@
 
 fn record(version: u64, before: Hash, body: u8) -> Record {
     let (key, by, why) = (format!("k{}", version % 2), "o".to_owned(), String::new());
-    let proposal =
-        Proposal { id: version, key, kind: Kind::NOTE, body: vec![body], by, why, only_after: None };
-    Record { version: Version(version), term: 1, before, at_ms: 0, proposal }
+    let proposal = Proposal {
+        id: version,
+        key,
+        kind: RecordKind::NOTE,
+        body: vec![body],
+        by,
+        why,
+        expected_version: None,
+    };
+    Record { version: Version(version), term: 1, previous_hash: before, at_ms: 0, proposal }
 }
 
 impl Subscribers {
@@ -122,12 +129,13 @@
             0,
             Duration::ZERO,
         );
-        subscriber
-            .peers((0..self.sidecars).filter(|other| *other != n).map(|other| self.name(other)).collect());
+        subscriber.set_peers(
+            (0..self.sidecars).filter(|other| *other != n).map(|other| self.name(other)).collect(),
+        );
         subscriber
     }
 
-    fn send(&self, state: &mut State, from: usize, to: &str, said: &Said) {
+    fn send(&self, state: &mut State, from: usize, to: &str, said: &Message) {
         let to = if to == CONSENSUS_SERVER {
             Some(self.sidecars)
         } else {
@@ -135,7 +143,7 @@
         };
         if let (Some(to), true) = (to, state.in_flight.len() < self.in_flight) {
             let said = postcard::to_allocvec(said).unwrap_or_default(); // plain data: it never fails
-            state.in_flight.insert(Message { from, to, said });
+            state.in_flight.insert(InFlightMessage { from, to, said });
         }
     }
 
@@ -145,18 +153,18 @@
         sidecar.view = subscriber.view().clone();
         sidecar.highest = sidecar.highest.max(sidecar.view.version());
         for action in actions {
-            if let Action::Say(to, said) = action {
+            if let Action::Send(to, said) = action {
                 self.send(state, n, &to, &said);
             }
         }
     }
 
-    fn receive(&self, state: &mut State, message: &Message) {
-        let Ok(said) = postcard::from_bytes::<Said>(&message.said) else { return };
+    fn receive(&self, state: &mut State, message: &InFlightMessage) {
+        let Ok(said) = postcard::from_bytes::<Message>(&message.said) else { return };
         if message.to == self.sidecars {
             // A consensus server sends the records that follow, or the whole view. The program chooses by how far the
             // subscriber is behind; here either may happen.
-            if let Said::Ask { after } = said {
+            if let Message::FetchRecords { after } = said {
                 let all = chain(state.decided);
                 let replies = self.replies(&all, after);
                 let to = self.name(message.from);
@@ -164,20 +172,22 @@
             }
             return;
         }
-        let (n, from) = (message.to, Who { name: self.name(message.from), incarnation: 1 });
+        let (n, from) = (message.to, PeerId { name: self.name(message.from), incarnation: 1 });
         match (self.defect, &said) {
-            (Some(Defect::TakesOlderViews), Said::Snapshot(view)) => state.sidecars[n].view = view.clone(),
-            (Some(Defect::TakesGaps), Said::Records(records)) if !records.is_empty() => {
+            (Some(Defect::TakesOlderViews), Message::Snapshot(view)) => {
+                state.sidecars[n].view = view.clone()
+            }
+            (Some(Defect::TakesGaps), Message::Records(records)) if !records.is_empty() => {
                 // As if it were next, whatever it follows.
                 let record = records.last().cloned().unwrap_or_else(|| unreachable!("it is not empty"));
                 let before = state.sidecars[n].view.hash();
                 let version = state.sidecars[n].view.version().next();
-                let forged = Record { before, version, ..record };
+                let forged = Record { previous_hash: before, version, ..record };
                 let _ = state.sidecars[n].view.apply(forged);
             }
             _ => {
                 let mut subscriber = self.subscriber(state, n);
-                let actions = subscriber.heard(LATER, &from, said);
+                let actions = subscriber.handle_message(LATER, &from, said);
                 self.settle(state, n, &subscriber, actions);
             }
         }
@@ -185,9 +195,9 @@
         sidecar.highest = sidecar.highest.max(sidecar.view.version());
     }
 
-    fn replies(&self, all: &View, after: Version) -> Vec<Said> {
+    fn replies(&self, all: &View, after: Version) -> Vec<Message> {
         if after >= all.version() {
-            return vec![Said::Have { version: all.version(), hash: all.hash() }];
+            return vec![Message::ViewVersion { version: all.version(), hash: all.hash() }];
         }
         let mut before = chain(after.0);
         let mut records = Vec::new();
@@ -198,7 +208,7 @@
                 records.push(next);
             }
         }
-        vec![Said::Records(records), Said::Snapshot(all.clone())]
+        vec![Message::Records(records), Message::Snapshot(all.clone())]
     }
 }
 
--- a/crates/checker/tests/subscribers.rs
+++ b/crates/model-checker/tests/subscribers.rs
@@ -1,6 +1,6 @@
 //! A short bound of the search, and each property shown to fail for a defect of its own.
 
-use curlewhub_checker::subscribers::{Defect, Subscribers};
+use curlewhub_model_checker::subscribers::{Defect, Subscribers};
 use stateright::{Checker, HasDiscoveries, Model};
 
 const SMALL: Subscribers = Subscribers { sidecars: 2, versions: 2, in_flight: 2, crashes: 1, defect: None };
--- a/crates/model/src/process.rs
+++ b/crates/model/src/process.rs
@@ -3,7 +3,7 @@
 use crate::decider::Decider;
 use curlewhub_balance::AttemptNo;
 use curlewhub_keys::Memory;
-use curlewhub_share::{Need, Shares};
+use curlewhub_overlap_quota::{Need, Shares};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -4,7 +4,7 @@
 use crate::retry::RetrySpec;
 use curlewhub_balance::{Class, Group, Limits, Rules, Semantics, Settings, Tenant, ZoneId};
 use curlewhub_config::Repeat;
-use curlewhub_config::fleet::PlacesConfig;
+use curlewhub_config::fleet::ZoneFailoverConfig;
 use curlewhub_config::units::Span;
 use curlewhub_standins::spec::MachineSpec;
 use serde::{Deserialize, Serialize};
@@ -105,7 +105,7 @@
     pub regions: BTreeMap<String, Vec<String>>,
     /// How zones are left, and returned to.
     #[serde(default)]
-    pub places: PlacesConfig,
+    pub places: ZoneFailoverConfig,
     /// Sidecars know one another; without, which saves memory in the largest fleets, they are not known to be there either, and
     /// witnesses are not asked for more than have told.
     #[serde(default = "yes")]
--- a/crates/model/src/tally.rs
+++ b/crates/model/src/tally.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::Call;
 use crate::retry::End;
-use curlewhub_locality::machine::Moved;
+use curlewhub_zone_failover::state_machine::Transition;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::time::Duration;
@@ -254,7 +254,7 @@
         }
     }
 
-    pub(crate) fn outcome(self, events: u64, moves: Vec<(Duration, Moved)>) -> Outcome {
+    pub(crate) fn outcome(self, events: u64, moves: Vec<(Duration, Transition)>) -> Outcome {
         let ms = |latency: &Histogram<u64>, quantile| match latency.len() {
             0 => 0.0,
             _ => latency.value_at_quantile(quantile) as f64 / 1000.0,
@@ -269,9 +269,9 @@
         let seconds: Vec<Second> = self.seconds.iter().map(second).collect();
         let totals = seconds.iter().fold(Totals::default(), |sum, second| sum.plus(&second.totals));
         let (p50_ms, p99_ms) = (ms(&self.latency, 0.5), ms(&self.latency, 0.99));
-        let moved = |(at, moved): (Duration, Moved)| Move {
+        let moved = |(at, moved): (Duration, Transition)| Move {
             at_s: at.as_secs_f64(),
-            zone: moved.hall,
+            zone: moved.zone,
             from: format!("{:?}", moved.from),
             to: format!("{:?}", moved.to),
             why: moved.why,
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -20,7 +20,7 @@
 };
 use curlewhub_config::Repeat;
 use curlewhub_keys::{Entry, Memory};
-use curlewhub_share::LOOK_EVERY;
+use curlewhub_overlap_quota::LOOK_EVERY;
 use curlewhub_standins::machine::{Happened, Machine, Offered};
 use rand::Rng;
 use rand_pcg::Pcg32;
@@ -216,7 +216,7 @@
         for call in open {
             self.close(call, End::Unanswered);
         }
-        let moves = self.control_plane.map_or(Vec::new(), |control_plane| control_plane.fleet.moves);
+        let moves = self.control_plane.map_or(Vec::new(), |control_plane| control_plane.fleet.transitions);
         self.tally.outcome(self.queue.planned(), moves)
     }
 
--- a/crates/model/src/world/control_plane.rs
+++ b/crates/model/src/world/control_plane.rs
@@ -4,9 +4,9 @@
 use super::*;
 use crate::scenario::FleetSpec;
 use curlewhub_balance::ZoneRight;
-use curlewhub_fleet::evidence::Ended;
-use curlewhub_fleet_model::{Delays, Evidence, Fleet, Net, Spec};
-use curlewhub_locality::part::Right;
+use curlewhub_control_plane::evidence::CallOutcome;
+use curlewhub_control_plane_model::{Delays, Evidence, Fleet, Network, SimulationSpec};
+use curlewhub_zone_failover::zone_policy::ZoneAccess;
 
 /// A probe that is not answered within this time has failed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
@@ -29,27 +29,28 @@
     // A zone that is in no region is one by itself.
     let region = |zone: &String| regions.values().position(|zones| zones.contains(zone));
     let region = |(n, zone): (usize, &String)| region(zone).unwrap_or(regions.len() + n);
-    let within =
-        |names: &Vec<String>| names.iter().map(|zone| curlewhub_fleet_model::hall_name(of(zone))).collect();
+    let within = |names: &Vec<String>| {
+        names.iter().map(|zone| curlewhub_control_plane_model::zone_name(of(zone))).collect()
+    };
     let mut rules = places.clone();
     rules.regions = regions.iter().map(|(region, zones)| (region.clone(), within(zones))).collect();
     let network = &scenario.network;
     let delays = Delays {
-        hall: network.within.0,
+        zone: network.within.0,
         region: network.between.0,
         regions: network.between.0,
         jitter: network.jitter,
     };
-    let spec = Spec {
-        halls: zones.iter().enumerate().map(region).collect(),
-        keepers: consensus_servers.iter().map(of).collect(),
+    let spec = SimulationSpec {
+        zones: zones.iter().enumerate().map(region).collect(),
+        consensus_servers: consensus_servers.iter().map(of).collect(),
         joining: 0,
         sidecars: (0..scenario.sidecars as usize).map(|n| n % zones.len()).collect(),
-        members: *members,
+        membership: *members,
         evidence: Evidence::Seen,
-        rules,
-        net: Net { delays, ..Net::default() },
-        cost: curlewhub_fleet_model::Cost::default(),
+        zone_failover: rules,
+        network: Network { delays, ..Network::default() },
+        cost: curlewhub_control_plane_model::Cost::default(),
     };
     Some(ControlPlane { fleet: Fleet::new(spec, seed), look: 0, probes: 0 })
 }
@@ -72,7 +73,13 @@
         let (sidecar, zone) =
             (self.processes[process].sidecar, self.endpoints[endpoint_index].zone as usize);
         let id = Self::call_id(process, request, number);
-        control_plane.fleet.began(self.now - EPOCH, sidecar, id, zone, class.map_or(0, |call| call.class));
+        control_plane.fleet.call_started(
+            self.now - EPOCH,
+            sidecar,
+            id,
+            zone,
+            class.map_or(0, |call| call.class),
+        );
     }
 
     pub(super) fn witness_ended(
@@ -85,14 +92,14 @@
     ) {
         let Some(control_plane) = &mut self.control_plane else { return };
         let how = match outcome {
-            Outcome::Ok => Ended::Served,
-            Outcome::TimedOut => Ended::Silent,
-            Outcome::ConnectFailed | Outcome::Reset => Ended::Gone,
-            Outcome::Full => Ended::Full,
-            Outcome::Error => Ended::Error,
-            Outcome::Cancelled | Outcome::Moot | Outcome::LocalFault => Ended::Moot,
+            Outcome::Ok => CallOutcome::Served,
+            Outcome::TimedOut => CallOutcome::TimedOut,
+            Outcome::ConnectFailed | Outcome::Reset => CallOutcome::Unreachable,
+            Outcome::Full => CallOutcome::Rejected,
+            Outcome::Error => CallOutcome::Failed,
+            Outcome::Cancelled | Outcome::Moot | Outcome::LocalFault => CallOutcome::Cancelled,
         };
-        control_plane.fleet.ended(
+        control_plane.fleet.call_finished(
             self.processes[process].sidecar,
             Self::call_id(process, request, number),
             how,
@@ -108,7 +115,7 @@
             return;
         };
         control_plane.fleet.run_to(self.now - EPOCH);
-        let rights = std::mem::take(&mut control_plane.fleet.rights);
+        let rights = std::mem::take(&mut control_plane.fleet.access);
         let probes = std::mem::take(&mut control_plane.fleet.probes);
         for (sidecar, rights) in rights {
             let rights: Vec<(ZoneId, ZoneRight)> =
@@ -155,7 +162,7 @@
 
     pub(super) fn probed(&mut self, sidecar: usize, zone: usize, answered: bool) {
         if let Some(control_plane) = &mut self.control_plane {
-            control_plane.fleet.probed(sidecar, zone, answered);
+            control_plane.fleet.probe_finished(sidecar, zone, answered);
         }
     }
 
@@ -165,9 +172,9 @@
         if let Some(control_plane) = &mut self.control_plane {
             for (lost, leaves) in [(into, false), (out, true)] {
                 if lost > 0 {
-                    control_plane.fleet.net.borders.insert((zone, leaves));
+                    control_plane.fleet.network.isolated_zones.insert((zone, leaves));
                 } else {
-                    control_plane.fleet.net.borders.remove(&(zone, leaves));
+                    control_plane.fleet.network.isolated_zones.remove(&(zone, leaves));
                 }
             }
         }
@@ -175,12 +182,12 @@
 }
 
 /// The same moment on the modules' clock.
-fn zone_right(right: Right) -> ZoneRight {
+fn zone_right(right: ZoneAccess) -> ZoneRight {
     match right {
-        Right::Open => ZoneRight::Open,
-        Right::Part(part) => ZoneRight::Part(part),
-        Right::Rate(per_s, until) => ZoneRight::Rate { per_s, until: EPOCH + until },
-        Right::Closed => ZoneRight::Closed,
-        Right::Dark => ZoneRight::Dark,
+        ZoneAccess::Open => ZoneRight::Open,
+        ZoneAccess::Share(part) => ZoneRight::Part(part),
+        ZoneAccess::Rate(per_s, until) => ZoneRight::Rate { per_s, until: EPOCH + until },
+        ZoneAccess::Closed => ZoneRight::Closed,
+        ZoneAccess::Unreachable => ZoneRight::Dark,
     }
 }
--- a/crates/model/tests/stored_forms.rs
+++ b/crates/model/tests/stored_forms.rs
@@ -1,6 +1,6 @@
 //! Scenario files and seeded runs: read as by commit d7660a1, and the same report byte for byte.
 
-#[path = "../../fleet/tests/support/fixture.rs"]
+#[path = "../../control-plane/tests/support/fixture.rs"]
 mod fixture;
 
 use curlewhub_model::{Scenario, run};
--- a/crates/share/tests/shares.rs
+++ b/crates/overlap-quota/tests/shares.rs
@@ -1,6 +1,6 @@
 //! Two processes and what they hold, whatever is said when, and whatever gets lost.
 
-use curlewhub_share::{Demand, MIN_PARTS, OverlapQuota, QuotaError, TOTAL_PARTS};
+use curlewhub_overlap_quota::{Demand, MIN_PARTS, OverlapQuota, QuotaError, TOTAL_PARTS};
 use proptest::prelude::*;
 use std::collections::VecDeque;
 
--- a/crates/rig/src/scale/events.rs
+++ b/crates/rig/src/scale/events.rs
@@ -7,7 +7,7 @@
 use crate::scale::protocol::{GatewayCommand, HollowCommand};
 use crate::scale::run::Run;
 use crate::scale::spec::{RACK, ScaleSpec};
-use curlewhub_fleet_node::call::{Described, describe};
+use curlewhub_control_plane_node::admin_client::{ServerStatus, describe_servers};
 use rand::seq::{IndexedRandom, SliceRandom};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -203,9 +203,9 @@
     }
 
     async fn kill_leader(&self) {
-        let all = describe(&self.direct()).await;
+        let all = describe_servers(&self.direct()).await;
         let leads = |(_, described): &&(String, Result<_, _>)| {
-            matches!(described, Ok(Described { leads: true, .. }))
+            matches!(described, Ok(ServerStatus { is_leader: true, .. }))
         };
         let name = all.iter().find(leads).map(|(name, _)| name.clone());
         self.begin_outage("leader", Vec::new(), false);
--- a/crates/rig/src/scale/gather.rs
+++ b/crates/rig/src/scale/gather.rs
@@ -5,7 +5,7 @@
 use crate::scale::protocol::{GatewayCommand, GatewayCounts, HollowCommand};
 use crate::scale::report::{LoadFigures, Report};
 use crate::scale::run::{ANSWER_MOST, Run, START_MOST, Settled};
-use curlewhub_fleet_node::call::describe;
+use curlewhub_control_plane_node::admin_client::describe_servers;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
     ) -> Result<Report, String> {
         self.read_events();
         let mut problems = self.processes.borrow_mut().ended();
-        let servers = describe(&self.direct()).await;
+        let servers = describe_servers(&self.direct()).await;
         let system_dropped = self.system_dropped();
         let real = self.gather_real().await;
         let load = self.gather_load().await;
--- a/crates/rig/src/scale/hollow.rs
+++ b/crates/rig/src/scale/hollow.rs
@@ -1,6 +1,6 @@
 //! A hollow process: the control planes of many sidecars in one operating-system process, without a data path.
 //!
-//! Each control plane is the program's own code: the follower of `curlewhub-fleet-node` with its membership, its view on
+//! Each control plane is the program's own code: the follower of `curlewhub-control-plane-node` with its membership, its view on
 //! disk and its evidence, and the discovery client of `curlewhub-runtime`. What a data path would tell is drawn from a seed.
 
 use crate::history::unix_us;
@@ -9,15 +9,17 @@
 };
 use curlewhub_balance::{Discovery as ListMode, Membership};
 use curlewhub_config::Names;
-use curlewhub_fleet::acted::Acted;
-use curlewhub_fleet::evidence::{Ended, Witness};
-use curlewhub_fleet::record::Hash;
-use curlewhub_fleet_node::{Acts, Manner, Standing, Traffic, follow};
-use curlewhub_locality::part::Right;
-use curlewhub_locality::places::place;
+use curlewhub_control_plane::applied::AppliedRecords;
+use curlewhub_control_plane::evidence::{CallOutcome, CallRecorder};
+use curlewhub_control_plane::record::Hash;
+use curlewhub_control_plane_node::{
+    SubscriberOptions, SubscriberStatus, Traffic, ViewHandler, run_subscriber,
+};
 use curlewhub_runtime::discovery::Discovery;
 use curlewhub_runtime::events::Input;
 use curlewhub_runtime::listing::Listing;
+use curlewhub_zone_failover::zone_policy::ZoneAccess;
+use curlewhub_zone_failover::zone_states::tier_zone;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cell::{Cell, RefCell};
@@ -98,11 +100,11 @@
 
 /// Where a control plane's calls may go, and what became of them: what its data path would hold.
 struct Calls {
-    witness: Rc<RefCell<Witness>>,
+    witness: Rc<RefCell<CallRecorder>>,
     /// When the clock of that, and of the rights, began.
     began: Instant,
     /// What may go into each place, by number of its zone.
-    rights: RefCell<Vec<Right>>,
+    rights: RefCell<Vec<ZoneAccess>>,
 }
 
 /// What one control plane counts while it runs.
@@ -247,17 +249,17 @@
     seed: u64,
 ) -> Result<(), String> {
     spawn_local(watch_list(plane.clone(), shared.clone(), counted.clone(), seed));
-    let places: Vec<String> = shared.zones.iter().map(|zone| place(zone, plane.tier)).collect();
+    let places: Vec<String> = shared.zones.iter().map(|zone| tier_zone(zone, plane.tier)).collect();
     let calls = Rc::new(Calls {
-        witness: Rc::new(RefCell::new(Witness::new(&plane.fleet.hall, places.clone()))),
+        witness: Rc::new(RefCell::new(CallRecorder::new(&plane.fleet.zone, places.clone()))),
         began: Instant::now(),
-        rights: RefCell::new(vec![Right::Open; places.len()]),
+        rights: RefCell::new(vec![ZoneAccess::Open; places.len()]),
     });
     spawn_local(draw_calls(calls.clone(), shared.clone(), counted.clone(), seed));
     let witness = Some((calls.witness.clone(), calls.began));
-    let manner = Manner { beside: false, witness, halls: places.clone() };
+    let manner = SubscriberOptions { share_address: false, recorder: witness, zones: places.clone() };
     let mut holds = Holds { shared, counted, calls, places };
-    follow(&plane.fleet, manner, &mut holds, std::future::pending()).await
+    run_subscriber(&plane.fleet, manner, &mut holds, std::future::pending()).await
 }
 
 /// Follows the list of the service that is called, and counts what comes.
@@ -308,22 +310,22 @@
     let Some(zone) = calls.draw_zone(shared.calls_per_s, draws) else { return };
     let took = Duration::from_secs_f64(draws.random_range(CALL_TAKES.0..CALL_TAKES.1));
     let (how, took) = match shared.losses.of(&shared.zones[zone]) {
-        Some(Ended::Silent) => (Ended::Silent, SILENT_AFTER),
+        Some(CallOutcome::TimedOut) => (CallOutcome::TimedOut, SILENT_AFTER),
         Some(lost) => (lost, took),
-        None => (Ended::Served, took),
+        None => (CallOutcome::Served, took),
     };
     let mut witness = calls.witness.borrow_mut();
-    witness.began(calls.began.elapsed(), call, zone, 0);
-    witness.ended(call, how, took);
+    witness.call_started(calls.began.elapsed(), call, zone, 0);
+    witness.call_finished(call, how, took);
 }
 
 impl Losses {
     /// How a call into this zone is lost, if it is.
-    fn of(&self, zone: &str) -> Option<Ended> {
+    fn of(&self, zone: &str) -> Option<CallOutcome> {
         if self.silent.borrow().contains(zone) {
-            Some(Ended::Silent)
+            Some(CallOutcome::TimedOut)
         } else {
-            self.gone.borrow().contains(zone).then_some(Ended::Gone)
+            self.gone.borrow().contains(zone).then_some(CallOutcome::Unreachable)
         }
     }
 }
@@ -345,12 +347,12 @@
 }
 
 /// The part of what would go into a place that may, where so many calls a second would.
-fn part(right: Right, even: f64, now: Duration) -> f64 {
+fn part(right: ZoneAccess, even: f64, now: Duration) -> f64 {
     match right {
-        Right::Open => 1.0,
-        Right::Part(part) => part,
-        Right::Rate(per_s, until) if now < until => (per_s / even).min(1.0),
-        Right::Rate(..) | Right::Closed | Right::Dark => 0.0,
+        ZoneAccess::Open => 1.0,
+        ZoneAccess::Share(part) => part,
+        ZoneAccess::Rate(per_s, until) if now < until => (per_s / even).min(1.0),
+        ZoneAccess::Rate(..) | ZoneAccess::Closed | ZoneAccess::Unreachable => 0.0,
     }
 }
 
@@ -382,8 +384,8 @@
     }
 }
 
-impl Acts for Holds {
-    fn acts(&mut self, acted: &Acted, hash: Hash) {
+impl ViewHandler for Holds {
+    fn view_applied(&mut self, acted: &AppliedRecords, hash: Hash) {
         let version = acted.version().0;
         self.counted.counts.borrow_mut().version = version;
         let what = PlaneDid::Acts { version, hash: format!("{hash:?}") };
@@ -391,34 +393,34 @@
     }
 
     // The rights' clock and that of the calls began at the same moment, but for what a start takes.
-    fn may(&mut self, now: Duration, rights: &[(String, Right)]) {
+    fn zone_access_changed(&mut self, now: Duration, rights: &[(String, ZoneAccess)]) {
         let ahead = self.calls.began.elapsed().saturating_sub(now);
         let mut held = self.calls.rights.borrow_mut();
         for (place, right) in rights {
             let Some(zone) = self.zone(place) else { continue };
             held[zone] = match *right {
-                Right::Rate(per_s, until) => Right::Rate(per_s, until + ahead),
+                ZoneAccess::Rate(per_s, until) => ZoneAccess::Rate(per_s, until + ahead),
                 right => right,
             };
         }
     }
 
-    fn probe(&mut self, place: &str, count: u32) {
+    fn probe_zone(&mut self, place: &str, count: u32) {
         let Some(zone) = self.zone(place) else { return };
         let answered = self.shared.losses.of(&self.shared.zones[zone]).is_none();
         let mut witness = self.calls.witness.borrow_mut();
-        (0..count).for_each(|_| witness.probed(zone, answered));
+        (0..count).for_each(|_| witness.probe_finished(zone, answered));
     }
 
-    fn stands(&mut self, standing: Standing) {
-        let Standing { age, counts: view, not_taken, members, .. } = standing;
+    fn status_changed(&mut self, standing: SubscriberStatus) {
+        let SubscriberStatus { age, counts: view, rejected_records: not_taken, members, .. } = standing;
         let ready = {
             let mut counts = self.counted.counts.borrow_mut();
             counts.age_ms = age.map(|age| age.as_millis() as u64);
             counts.members = members;
             counts.not_taken = not_taken;
-            counts.unanswered = view.unanswered;
-            counts.contradictions = view.contradictions;
+            counts.unanswered = view.timeouts;
+            counts.contradictions = view.conflicts;
             age.is_some() && members > 1 && counts.lists > 0
         };
         if ready && !self.counted.ready.replace(true) {
@@ -426,7 +428,7 @@
         }
     }
 
-    fn carried(&mut self, traffic: &Traffic) {
+    fn traffic_counted(&mut self, traffic: &Traffic) {
         let mut counts = self.counted.counts.borrow_mut();
         counts.traffic = traffic.by_kind();
         counts.lost = traffic.losses();
--- a/crates/rig/src/scale/judge.rs
+++ b/crates/rig/src/scale/judge.rs
@@ -8,8 +8,8 @@
 };
 use crate::scale::run::IN_FORCE;
 use crate::scale::spec::ScaleSpec;
-use curlewhub_fleet_node::Flow;
-use curlewhub_fleet_node::call::Described;
+use curlewhub_control_plane_node::Flow;
+use curlewhub_control_plane_node::admin_client::ServerStatus;
 use std::collections::{BTreeMap, HashMap};
 
 /// The operators' letter, for control of each sidecar: bytes a second, and memory.
@@ -87,7 +87,7 @@
     /// What went wrong with processes.
     pub problems: Vec<String>,
     /// What servers say of themselves.
-    pub servers: Vec<(String, Result<Described, String>)>,
+    pub servers: Vec<(String, Result<ServerStatus, String>)>,
     /// How often each of these was started.
     pub servers_starts: Vec<u32>,
     /// Memory and processor time of each server that ran at the end.
@@ -431,7 +431,7 @@
         lived_ms: g.settled_us.saturating_sub(real.started_us) / 1000,
         version: figure("fleet_version"),
         members: figure("fleet_members") as usize,
-        traffic: BTreeMap::from([(curlewhub_fleet_node::MessageKind::Other, flow)]),
+        traffic: BTreeMap::from([(curlewhub_control_plane_node::MessageKind::Other, flow)]),
         ..PlaneCounts::default()
     }
 }
@@ -730,20 +730,20 @@
     .collect()
 }
 
-fn described_figures(settled_us: u64, described: &Described, bare: ServerFigures) -> ServerFigures {
+fn described_figures(settled_us: u64, described: &ServerStatus, bare: ServerFigures) -> ServerFigures {
     // Its incarnation is when it was started, in milliseconds of Unix time.
     let lived_s = (settled_us / 1000).saturating_sub(described.incarnation).max(1) as f64 / 1e3;
     let flow = described.traffic.values().fold(Flow::default(), |sum, flow| sum.plus(*flow));
     ServerFigures {
-        leads: described.leads,
+        leads: described.is_leader,
         term: described.term,
         version: described.version,
         members: described.members,
         sidecars: described.sidecars,
-        bytes_per_s: (described.said_bytes + described.heard_bytes) as f64 / lived_s,
+        bytes_per_s: (described.sent_bytes + described.received_bytes) as f64 / lived_s,
         messages_per_s: (flow.messages_out + flow.messages_in) as f64 / lived_s,
-        put_off: described.put_off,
-        not_taken: described.not_taken.clone(),
+        put_off: described.deferred_fetches,
+        not_taken: described.rejected_digests.clone(),
         dropped: described.dropped.clone(),
         lost: described.lost.clone(),
         ..bare
--- a/crates/rig/src/scale/protocol.rs
+++ b/crates/rig/src/scale/protocol.rs
@@ -1,7 +1,7 @@
 //! What the run, its hollow processes and its gateways say to each other: JSON, a line each.
 
 use curlewhub_config::fleet::FleetConfig;
-use curlewhub_fleet_node::{Flow, Lost, MessageKind};
+use curlewhub_control_plane_node::{Flow, Lost, MessageKind};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/rig/src/scale/real.rs
+++ b/crates/rig/src/scale/real.rs
@@ -5,7 +5,9 @@
 use crate::spec::{ClassSpec, LoadSpec};
 use crate::texts;
 use curlewhub_config::Repeat;
-use curlewhub_config::fleet::{FleetConfig, KeeperConfig, KeyConfig, PeerConfig, PlacesConfig};
+use curlewhub_config::fleet::{
+    ConsensusServerConfig, FleetConfig, KeyConfig, PeerConfig, ZoneFailoverConfig,
+};
 use curlewhub_config::units::{Size, Span};
 use curlewhub_model::RetrySpec;
 use curlewhub_standins::spec::{ClassSpec as Work, DirectorySpec, EndpointSpec, FleetSpec, MachineSpec};
@@ -55,20 +57,20 @@
     KeyConfig { number: 1, file: folders.key() }
 }
 
-fn places(layout: &Layout) -> PlacesConfig {
+fn places(layout: &Layout) -> ZoneFailoverConfig {
     let mut regions: BTreeMap<String, Vec<String>> = BTreeMap::new();
     for zone in &layout.zones {
         regions.entry(zone.region.to_owned()).or_default().push(zone.name.to_owned());
     }
-    PlacesConfig { regions, ..PlacesConfig::default() }
+    ZoneFailoverConfig { regions, ..ZoneFailoverConfig::default() }
 }
 
-fn servers(layout: &Layout, own: Option<u64>) -> Vec<KeeperConfig> {
-    let one = |server: &Server| KeeperConfig {
+fn servers(layout: &Layout, own: Option<u64>) -> Vec<ConsensusServerConfig> {
+    let one = |server: &Server| ConsensusServerConfig {
         id: server.id,
         name: server.name.clone(),
         address: if own == Some(server.id) { server.listen } else { server.door },
-        hall: layout.zones[server.zone].name.to_owned(),
+        zone: layout.zones[server.zone].name.to_owned(),
         region: layout.zones[server.zone].region.to_owned(),
     };
     layout.servers.iter().map(one).collect()
@@ -79,13 +81,13 @@
         name: name.to_owned(),
         listen,
         advertise: None,
-        hall: String::new(),
+        zone: String::new(),
         state_dir: folders.followers.join(name),
         key: key(folders),
         other_key: None,
-        keepers: servers(layout, None),
+        consensus_servers: servers(layout, None),
         peers: Vec::new(),
-        places: places(layout),
+        zone_failover: places(layout),
         clock_ahead_ms: 0,
         joins: false,
     }
@@ -100,7 +102,7 @@
 ) -> FleetConfig {
     FleetConfig {
         advertise: Some(sidecar.door),
-        hall: layout.zones[sidecar.zone].name.to_owned(),
+        zone: layout.zones[sidecar.zone].name.to_owned(),
         peers,
         ..fleet_config(layout, folders, &sidecar.name, sidecar.listen)
     }
@@ -110,9 +112,9 @@
 pub fn of_server(layout: &Layout, folders: &Folders, server: &Server) -> FleetConfig {
     FleetConfig {
         advertise: Some(server.door),
-        hall: layout.zones[server.zone].name.to_owned(),
+        zone: layout.zones[server.zone].name.to_owned(),
         state_dir: folders.run.join("state").join(&server.name),
-        keepers: servers(layout, Some(server.id)),
+        consensus_servers: servers(layout, Some(server.id)),
         ..fleet_config(layout, folders, &server.name, server.listen)
     }
 }
--- a/crates/rig/src/scale/report.rs
+++ b/crates/rig/src/scale/report.rs
@@ -3,7 +3,7 @@
 use crate::scale::protocol::GatewayCounts;
 use crate::scale::spec::ScaleSpec;
 use comfy_table::{Table, presets};
-use curlewhub_fleet_node::{Flow, Lost, MessageKind};
+use curlewhub_control_plane_node::{Flow, Lost, MessageKind};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
--- a/crates/rig/src/scale/run.rs
+++ b/crates/rig/src/scale/run.rs
@@ -11,9 +11,9 @@
 use crate::scale::report::Report;
 use crate::scale::spec::ScaleSpec;
 use curlewhub_config::fleet::FleetConfig;
-use curlewhub_fleet::record::Version;
-use curlewhub_fleet::wire::Said;
-use curlewhub_fleet_node::call::{call, describe};
+use curlewhub_control_plane::protocol::Message;
+use curlewhub_control_plane::record::Version;
+use curlewhub_control_plane_node::admin_client::{call, describe_servers};
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 use std::cell::{Cell, RefCell};
@@ -460,7 +460,7 @@
     /// Servers by their own addresses, which no cut reaches: the rig's own word with them is no part of the run.
     pub(super) fn direct(&self) -> FleetConfig {
         let mut config = self.operator.clone();
-        for (server, named) in config.keepers.iter_mut().zip(&self.layout.servers) {
+        for (server, named) in config.consensus_servers.iter_mut().zip(&self.layout.servers) {
             server.address = named.listen;
         }
         config
@@ -471,10 +471,11 @@
         let config = self.direct();
         let mut asked = 0;
         loop {
-            let at = config.keepers[asked % config.keepers.len()].address;
+            let at = config.consensus_servers[asked % config.consensus_servers.len()].address;
             asked += 1;
             let after = self.decided.borrow().keys().next_back().copied().unwrap_or_default();
-            let said = call(&config, at, Said::Ask { after: Version(after) }, ANSWER_MOST).await;
+            let said =
+                call(&config, at, Message::FetchRecords { after: Version(after) }, ANSWER_MOST).await;
             if !self.note_decided(after, said) {
                 sleep(ASK_EVERY).await;
             }
@@ -482,10 +483,10 @@
     }
 
     /// Notes an answer; whether there may be more at once.
-    fn note_decided(&self, after: u64, said: Result<Said, String>) -> bool {
+    fn note_decided(&self, after: u64, said: Result<Message, String>) -> bool {
         let mut decided = self.decided.borrow_mut();
         match said {
-            Ok(Said::Records(records)) => {
+            Ok(Message::Records(records)) => {
                 for record in &records {
                     let hash = format!("{:?}", record.hash());
                     let at_us = record.at_ms * 1000;
@@ -494,7 +495,7 @@
                 !records.is_empty()
             }
             // A server that is behind shows what was known before.
-            Ok(Said::Snapshot(view)) if view.version().0 > after => {
+            Ok(Message::Snapshot(view)) if view.version().0 > after => {
                 let (version, hash) = (view.version().0, format!("{:?}", view.hash()));
                 decided.entry(version).or_insert(Decided { hash, at_us: unix_us() as u64 });
                 true
@@ -520,7 +521,7 @@
     /// Whether every server that has run throughout knows of every member.
     async fn all_members_known(&self) -> bool {
         let all = self.layout.sidecars.len() + self.layout.servers.len();
-        let described = describe(&self.direct()).await;
+        let described = describe_servers(&self.direct()).await;
         let throughout = |name: &String| self.starts.borrow().get(name) == Some(&1);
         let mut asked = described.iter().filter(|(name, _)| throughout(name));
         asked.all(|(_, described)| described.as_ref().is_ok_and(|d| d.members == all))
--- a/crates/rollout/src/canary.rs
+++ b/crates/rollout/src/canary.rs
@@ -1,6 +1,6 @@
 //! Which sidecars get a change first: the same answer in each process, from the record and the sidecar's name alone.
 
-use curlewhub_fleet::configuration::{Canary, ConfigNumber};
+use curlewhub_control_plane::configuration::{Canary, ConfigNumber};
 
 /// What a canary's membership depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/rollout/src/command.rs
+++ b/crates/rollout/src/command.rs
@@ -2,9 +2,9 @@
 
 use crate::record::{self, Senseless};
 use crate::rollout::{Event, Refused};
-use curlewhub_fleet::configuration::{ConfigAction, ConfigCommand};
-use curlewhub_fleet::record::Proposal;
-use curlewhub_fleet::view::View;
+use curlewhub_control_plane::configuration::{ConfigAction, ConfigCommand};
+use curlewhub_control_plane::record::Proposal;
+use curlewhub_control_plane::view::View;
 
 /// Why a command is not proposed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
--- a/crates/rollout/src/coordinator.rs
+++ b/crates/rollout/src/coordinator.rs
@@ -7,9 +7,9 @@
 use crate::record;
 use crate::reports::{Census, Reports};
 use crate::rollout::{Event, Phase, Rollout};
-use curlewhub_fleet::configuration::{Canary, ConfigNumber};
-use curlewhub_fleet::evidence::Evidence;
-use curlewhub_fleet::record::{Proposal, Version};
+use curlewhub_control_plane::configuration::{Canary, ConfigNumber};
+use curlewhub_control_plane::evidence::Evidence;
+use curlewhub_control_plane::record::{Proposal, Version};
 use std::time::Duration;
 
 /// A stage is looked at this often: well below a second of the 15 that a change may take.
@@ -48,11 +48,11 @@
     /// none of its own.
     pub fn of(evidence: &Evidence, canary: &Canary, now: Duration) -> Outcomes {
         let mut outcomes = Outcomes::default();
-        for ((from, _), pair) in evidence.pairs(now) {
+        for ((from, _), pair) in evidence.zone_pairs(now) {
             let in_canary = canary.zones.iter().any(|zone| zone == from);
             let sum = if in_canary { &mut outcomes.canary } else { &mut outcomes.rest };
-            sum.known += u64::from(pair.calls.known());
-            sum.failed += u64::from(pair.calls.lost()) + u64::from(pair.calls.error);
+            sum.known += u64::from(pair.calls.total());
+            sum.failed += u64::from(pair.calls.lost()) + u64::from(pair.calls.failed);
         }
         outcomes
     }
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -1,8 +1,8 @@
 //! A rollout as a record of the fleet's decided log.
 
 use crate::rollout::Rollout;
-use curlewhub_fleet::record::{Kind, Proposal, Record, Version};
-use curlewhub_fleet::view::View;
+use curlewhub_control_plane::record::{Proposal, Record, RecordKind, Version};
+use curlewhub_control_plane::view::View;
 
 /// The key of the record.
 pub const CONFIG: &str = "config";
@@ -50,17 +50,17 @@
     Proposal {
         id,
         key: CONFIG.to_owned(),
-        kind: Kind::CONFIG,
+        kind: RecordKind::CONFIG,
         body: serde_json::to_vec(rollout).unwrap_or_default(), // plain data: it never fails
         by: by.to_owned(),
         why: cut(why),
-        only_after: Some(after),
+        expected_version: Some(after),
     }
 }
 
 /// A text cut to what a record may hold.
 pub fn cut(text: &str) -> String {
-    let mut end = text.len().min(curlewhub_fleet::record::TEXT_MOST);
+    let mut end = text.len().min(curlewhub_control_plane::record::MAX_TEXT_BYTES);
     while !text.is_char_boundary(end) {
         end -= 1;
     }
--- a/crates/rollout/src/reports.rs
+++ b/crates/rollout/src/reports.rs
@@ -2,9 +2,9 @@
 
 use crate::canary::Sidecar;
 use crate::rollout::Rollout;
-use curlewhub_fleet::configuration::{ConfigNumber, ConfigReport};
-use curlewhub_fleet::evidence::SIDECARS_MOST;
-use curlewhub_fleet::wire::Who;
+use curlewhub_control_plane::configuration::{ConfigNumber, ConfigReport};
+use curlewhub_control_plane::evidence::MAX_SIDECARS;
+use curlewhub_control_plane::protocol::PeerId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,7 +26,7 @@
     #[error("its text is too long")]
     TooLong,
     /// Too many sidecars.
-    #[error("{SIDECARS_MOST} sidecars are known")]
+    #[error("{MAX_SIDECARS} sidecars are known")]
     NoRoom,
 }
 
@@ -128,8 +128,8 @@
     ///
     /// # Errors
     /// Why it is not taken.
-    pub fn heard(&mut self, now: Duration, from: &Who, report: ConfigReport) -> Result<(), NotTaken> {
-        if !report.is_sensible() {
+    pub fn heard(&mut self, now: Duration, from: &PeerId, report: ConfigReport) -> Result<(), NotTaken> {
+        if !report.is_valid() {
             return Err(NotTaken::TooLong);
         }
         let order = |incarnation: u64, report: &ConfigReport| {
@@ -143,9 +143,9 @@
             if older && is_fresh(known) {
                 return Err(NotTaken::Old);
             }
-        } else if self.heard.len() >= SIDECARS_MOST {
+        } else if self.heard.len() >= MAX_SIDECARS {
             self.heard.retain(|_, known| is_fresh(known));
-            if self.heard.len() >= SIDECARS_MOST {
+            if self.heard.len() >= MAX_SIDECARS {
                 return Err(NotTaken::NoRoom);
             }
         }
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -6,7 +6,7 @@
 use crate::canary::{self, Sidecar};
 use crate::settings;
 use curlewhub_config::Problem;
-use curlewhub_fleet::configuration::{ConfigNumber, RolloutPlan, Settings};
+use curlewhub_control_plane::configuration::{ConfigNumber, RolloutPlan, Settings};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
--- a/crates/rollout/src/settings.rs
+++ b/crates/rollout/src/settings.rs
@@ -1,10 +1,10 @@
 //! What a configuration may hold: bounded, and each field one that a running sidecar takes.
 
 use curlewhub_config::{Problem, live};
-use curlewhub_fleet::configuration::{
-    Canary, RolloutPlan, SETTINGS_BYTES, SETTINGS_MOST, Settings, ZONES_MOST,
+use curlewhub_control_plane::configuration::{
+    Canary, MAX_SETTINGS, MAX_SETTINGS_BYTES, MAX_ZONES, RolloutPlan, Settings,
 };
-use curlewhub_fleet::record::TEXT_MOST;
+use curlewhub_control_plane::record::MAX_TEXT_BYTES;
 
 /// A stage may take no longer than this many milliseconds.
 const STAGE_MOST_MS: u32 = 3_600_000;
@@ -30,14 +30,18 @@
         |zone: Option<&str>, field: &str, value: &str| zone.map_or(0, str::len) + field.len() + value.len();
     let bytes: usize = settings.iter().map(|(zone, field, value)| size(zone, field, value)).sum();
     let mut problems = Vec::new();
-    if count > SETTINGS_MOST {
-        problems.push(problem("settings", &format!("{count} settings"), &format!("up to {SETTINGS_MOST}")));
+    if count > MAX_SETTINGS {
+        problems.push(problem("settings", &format!("{count} settings"), &format!("up to {MAX_SETTINGS}")));
     }
-    if bytes > SETTINGS_BYTES {
-        problems.push(problem("settings", &format!("{bytes} bytes"), &format!("up to {SETTINGS_BYTES}")));
+    if bytes > MAX_SETTINGS_BYTES {
+        problems.push(problem(
+            "settings",
+            &format!("{bytes} bytes"),
+            &format!("up to {MAX_SETTINGS_BYTES}"),
+        ));
     }
-    let long = settings.zones.keys().filter(|zone| zone.len() > TEXT_MOST).count();
-    if long > 0 || settings.zones.len() > ZONES_MOST {
+    let long = settings.zones.keys().filter(|zone| zone.len() > MAX_TEXT_BYTES).count();
+    if long > 0 || settings.zones.len() > MAX_ZONES {
         let wrong = format!("{} zones", settings.zones.len());
         problems.push(problem("settings", &wrong, "up to 64, each up to 200 bytes"));
     }
@@ -57,7 +61,7 @@
             problems.push(problem(field, &wrong, allowed));
         }
     };
-    let zones_fit = zones.len() <= ZONES_MOST && zones.iter().all(|zone| zone.len() <= TEXT_MOST);
+    let zones_fit = zones.len() <= MAX_ZONES && zones.iter().all(|zone| zone.len() <= MAX_TEXT_BYTES);
     wants(zones_fit, "canary.zones", format!("{} zones", zones.len()), "up to 64, each up to 200 bytes");
     wants(*per_mille <= PER_MILLE_MOST, "canary.per_mille", per_mille.to_string(), "0 to 1000");
     wants(plan.soak_ms < plan.stage_ms, "soak_ms", plan.soak_ms.to_string(), "less than `stage_ms`");
--- a/crates/rollout/src/subscriber.rs
+++ b/crates/rollout/src/subscriber.rs
@@ -4,7 +4,7 @@
 use crate::record;
 use crate::reports::RENEW;
 use crate::rollout::Rollout;
-use curlewhub_fleet::configuration::{ConfigNumber, ConfigReport, Refusal, SettingValues};
+use curlewhub_control_plane::configuration::{ConfigNumber, ConfigReport, Refusal, SettingValues};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/rollout/tests/fleet.rs
+++ b/crates/rollout/tests/fleet.rs
@@ -1,10 +1,10 @@
 //! Rollouts over a simulated fleet: reports that are lost and overtaken, sidecars that restart, are cut off or refuse,
 //! servers that lag and change their leader, and operators who want everything at once.
 
-use curlewhub_fleet::configuration::{Canary, ConfigNumber, ConfigReport, RolloutPlan, Settings};
-use curlewhub_fleet::record::{Record, Version};
-use curlewhub_fleet::view::View;
-use curlewhub_fleet::wire::Who;
+use curlewhub_control_plane::configuration::{Canary, ConfigNumber, ConfigReport, RolloutPlan, Settings};
+use curlewhub_control_plane::protocol::PeerId;
+use curlewhub_control_plane::record::{Record, Version};
+use curlewhub_control_plane::view::View;
 use curlewhub_rollout::canary::{Sidecar, includes};
 use curlewhub_rollout::coordinator::{CallOutcomes, Coordinator, Known, Outcomes};
 use curlewhub_rollout::record;
@@ -54,7 +54,7 @@
     servers: Vec<Server>,
     leader: usize,
     processes: Vec<Process>,
-    under_way: Vec<(Duration, usize, Who, ConfigReport)>,
+    under_way: Vec<(Duration, usize, PeerId, ConfigReport)>,
     contents: BTreeMap<ConfigNumber, Settings>,
     /// Numbers that were ever to go to all.
     to_all: BTreeSet<ConfigNumber>,
@@ -109,13 +109,13 @@
     }
 
     /// Decides a proposal, if it follows on what is decided.
-    fn decide(&mut self, proposal: curlewhub_fleet::record::Proposal) -> bool {
+    fn decide(&mut self, proposal: curlewhub_control_plane::record::Proposal) -> bool {
         let (_, version) = record::newest(&self.view).unwrap();
-        if proposal.only_after != Some(version) {
+        if proposal.expected_version != Some(version) {
             return false;
         }
         let (next, before) = (self.view.version().next(), self.view.hash());
-        let record = Record { version: next, term: 1, before, at_ms: 0, proposal };
+        let record = Record { version: next, term: 1, previous_hash: before, at_ms: 0, proposal };
         self.view.apply(record).unwrap();
         let (rollout, version) = record::newest(&self.view).unwrap();
         self.log.push((version, rollout.clone()));
@@ -206,7 +206,7 @@
                 });
             }
             let Some(report) = process.subscriber.report(self.now) else { continue };
-            let who = Who { name: process.name.clone(), incarnation: process.incarnation };
+            let who = PeerId { name: process.name.clone(), incarnation: process.incarnation };
             for server in 0..SERVERS {
                 if self.faulty && self.draws.random_bool(0.2) {
                     continue;
--- a/crates/rollout/tests/reports.rs
+++ b/crates/rollout/tests/reports.rs
@@ -1,16 +1,16 @@
 //! Reports one by one: which are taken, how many, and what they say of the sidecars; and calls by zone.
 
-use curlewhub_fleet::configuration::{Canary, ConfigNumber, ConfigReport, Refusal};
-use curlewhub_fleet::evidence::{Ended, Evidence, SIDECARS_MOST, Witness};
-use curlewhub_fleet::wire::Who;
+use curlewhub_control_plane::configuration::{Canary, ConfigNumber, ConfigReport, Refusal};
+use curlewhub_control_plane::evidence::{CallOutcome, CallRecorder, Evidence, MAX_SIDECARS};
+use curlewhub_control_plane::protocol::PeerId;
 use curlewhub_rollout::coordinator::{CallOutcomes, Outcomes};
 use curlewhub_rollout::reports::{FRESH, NotTaken, Reports, Standing};
 use std::time::Duration;
 
 const NOW: Duration = Duration::from_secs(100);
 
-fn who(name: &str, incarnation: u64) -> Who {
-    Who { name: name.to_owned(), incarnation }
+fn who(name: &str, incarnation: u64) -> PeerId {
+    PeerId { name: name.to_owned(), incarnation }
 }
 
 fn report(in_force: u64, refused: Option<u64>) -> ConfigReport {
@@ -50,7 +50,7 @@
 #[test]
 fn reports_are_bounded_and_make_room_by_those_that_say_nothing_any_more() {
     let mut reports = Reports::default();
-    for n in 0..SIDECARS_MOST {
+    for n in 0..MAX_SIDECARS {
         reports.heard(NOW, &who(&n.to_string(), 1), report(1, None)).unwrap();
     }
     assert_eq!(reports.heard(NOW, &who("more", 1), report(1, None)), Err(NotTaken::NoRoom));
@@ -61,14 +61,16 @@
 #[test]
 fn calls_count_by_the_zone_that_they_came_from() {
     let mut evidence = Evidence::default();
-    for (zone, ended) in [("a", Ended::Served), ("b", Ended::Error), ("c", Ended::Gone)] {
-        let mut witness = Witness::new(zone, vec!["a".to_owned()]);
+    for (zone, ended) in
+        [("a", CallOutcome::Served), ("b", CallOutcome::Failed), ("c", CallOutcome::Unreachable)]
+    {
+        let mut witness = CallRecorder::new(zone, vec!["a".to_owned()]);
         for call in 0..10 {
-            witness.began(NOW, (call, 0), 0, 0);
-            witness.ended((call, 0), ended, Duration::from_millis(5));
+            witness.call_started(NOW, (call, 0), 0, 0);
+            witness.call_finished((call, 0), ended, Duration::from_millis(5));
         }
-        let digest = witness.digest(NOW + Duration::from_secs(1), None).unwrap();
-        evidence.heard(NOW, &who(zone, 1), &digest).unwrap();
+        let digest = witness.take_digest(NOW + Duration::from_secs(1), None).unwrap();
+        evidence.record(NOW, &who(zone, 1), &digest).unwrap();
     }
     let canary = Canary { zones: vec!["b".to_owned()], per_mille: 0 };
     let outcomes = Outcomes::of(&evidence, &canary, NOW);
--- a/crates/rollout/tests/steps.rs
+++ b/crates/rollout/tests/steps.rs
@@ -1,7 +1,7 @@
 //! The steps of a rollout one by one: what each leads to, what is refused, and what a change may hold.
 
-use curlewhub_fleet::configuration::{
-    Canary, ConfigNumber, RolloutPlan, SETTINGS_BYTES, SettingValues, Settings,
+use curlewhub_control_plane::configuration::{
+    Canary, ConfigNumber, MAX_SETTINGS_BYTES, RolloutPlan, SettingValues, Settings,
 };
 use curlewhub_rollout::canary::{Sidecar, includes};
 use curlewhub_rollout::rollout::{Event, Phase, Refused, Rollout};
@@ -89,7 +89,7 @@
     }
     assert_eq!(refused.lines().count(), wrong.len() + 1, "{refused}");
     let many: SettingValues = (0..65).map(|n| (format!("log.level{n}"), String::new())).collect();
-    let long: SettingValues = [("log.level".to_owned(), "x".repeat(SETTINGS_BYTES))].into();
+    let long: SettingValues = [("log.level".to_owned(), "x".repeat(MAX_SETTINGS_BYTES))].into();
     let zone = Settings { zones: [("b".to_owned(), wrong)].into(), ..level("warn") };
     for (settings, wanted) in [
         (everywhere(many), "65 settings"),
--- a/crates/rollout/tests/stored_forms.rs
+++ b/crates/rollout/tests/stored_forms.rs
@@ -1,10 +1,10 @@
 //! The configuration's record and status: the same JSON as commit d7660a1 wrote, read and written.
 
-#[path = "../../fleet/tests/support/fixture.rs"]
+#[path = "../../control-plane/tests/support/fixture.rs"]
 mod fixture;
 
-use curlewhub_fleet::configuration::{Canary, ConfigNumber, RolloutPlan, Settings};
-use curlewhub_fleet::record::{Hash, Record, Version};
+use curlewhub_control_plane::configuration::{Canary, ConfigNumber, RolloutPlan, Settings};
+use curlewhub_control_plane::record::{Hash, Record, Version};
 use curlewhub_rollout::record::{proposal, read};
 use curlewhub_rollout::reports::{Census, Counts, Standing, Straggler};
 use curlewhub_rollout::rollout::{Content, Pending, Phase, Rollout};
@@ -71,7 +71,7 @@
 
 fn record_of(rollout: &Rollout) -> Record {
     let proposal = proposal(7, rollout, Version(299), "operator", "a reason");
-    Record { version: Version(300), term: 2, before: Hash::default(), at_ms: 0, proposal }
+    Record { version: Version(300), term: 2, previous_hash: Hash::default(), at_ms: 0, proposal }
 }
 
 #[test]
--- a/crates/runtime/src/outbound.rs
+++ b/crates/runtime/src/outbound.rs
@@ -11,7 +11,7 @@
 use super::streaming::{AnswerBody, BODY_MOST, FLOW_KIB, Flow, Payload, Sending, WHOLE_MOST};
 use super::time_left::{TOLD_WITHIN, TimeLeft};
 use curlewhub_balance::{EndpointId, LoadField, Outcome, Settings};
-use curlewhub_links::{Leave, Refusal};
+use curlewhub_connection_quota::{Leave, Refusal};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::client::conn::http1::{self, SendRequest};
--- a/crates/runtime/src/sharing.rs
+++ b/crates/runtime/src/sharing.rs
@@ -1,9 +1,9 @@
 //! Sharing with the processes beside this one: tells them what this one needs, and moves parts between their modules
-//! and this one's. How many parts move is decided in `curlewhub-share`; what goes along with them is the module's.
+//! and this one's. How many parts move is decided in `curlewhub-overlap-quota`; what goes along with them is the module's.
 
 use crate::events::Said;
 use curlewhub_balance::{Action, Balancer};
-use curlewhub_share::{LOOK_EVERY, Need, Shares};
+use curlewhub_overlap_quota::{LOOK_EVERY, Need, Shares};
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/runtime/src/slots.rs
+++ b/crates/runtime/src/slots.rs
@@ -1,7 +1,7 @@
 //! Leave to open connections to endpoints: each that is up or on its way holds a slot.
 
 use curlewhub_balance::EndpointId;
-use curlewhub_links::{Leave, Links, Refusal, Terms};
+use curlewhub_connection_quota::{Leave, Links, Refusal, Terms};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/snapshot/tests/stored_forms.rs
+++ b/crates/snapshot/tests/stored_forms.rs
@@ -1,6 +1,6 @@
 //! Snapshots: the same bytes, file name and fingerprint as commit d7660a1 wrote, read and written.
 
-#[path = "../../fleet/tests/support/fixture.rs"]
+#[path = "../../control-plane/tests/support/fixture.rs"]
 mod fixture;
 
 use curlewhub_balance::{Class, Group, Semantics, Settings, Snapshot, Tenant};
--- a/crates/locality/src/signals.rs
+++ b/crates/zone-failover/src/signals.rs
@@ -4,14 +4,14 @@
 //! in a sound one, never below zero (Page's CUSUM). It alarms as soon as the calls since the last good ones can't be
 //! chance, whether they come at a thousand a second or at ten; its false alarms are rarer than `exp(-alarm)` a call.
 
-use crate::places::{place, tier_of};
-use curlewhub_config::fleet::PlacesConfig;
-use curlewhub_fleet::evidence::{CALLS_MOST, Calls, Digest};
+use crate::zone_states::{tier_of, tier_zone};
+use curlewhub_config::fleet::ZoneFailoverConfig;
+use curlewhub_control_plane::evidence::{CallCounts, Digest, MAX_CALLS_PER_DIGEST};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// What is older than this says nothing of a hall any more.
-pub const FRESH: Duration = Duration::from_millis(1500);
+pub const FRESHNESS: Duration = Duration::from_millis(1500);
 /// A sum rises no further than this part above the alarm: what is well again is seen soon.
 const SUM_MOST: f64 = 1.5;
 /// Seconds in which rates and times are forgotten to a third.
@@ -77,12 +77,12 @@
 }
 
 impl Sums {
-    fn saw(&mut self, told: &Told, rules: &PlacesConfig) {
+    fn saw(&mut self, told: &Told, rules: &ZoneFailoverConfig) {
         let weight = |bad: u32, good: u32| {
-            let (p0, p1) = (rules.sound_loses, rules.dark_loses);
+            let (p0, p1) = (rules.healthy_loss, rules.unreachable_loss);
             f64::from(bad) * (p1 / p0).ln() + f64::from(good) * ((1.0 - p1) / (1.0 - p0)).ln()
         };
-        let most = rules.alarm * SUM_MOST;
+        let most = rules.alarm_log_likelihood * SUM_MOST;
         let Told { lost, answered, streak, error } = *told;
         // In their order, as far as it is known: a streak of lost ones came last.
         self.lost = (self.lost + weight(lost - streak, answered)).clamp(0.0, most);
@@ -143,36 +143,36 @@
 
 /// What one pair shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shows {
+pub enum Verdict {
     /// Calls are served, or nothing speaks against it.
-    Well,
+    Healthy,
     /// Something does, and not enough.
-    Unsure,
+    Uncertain,
     /// Nobody is there, or nobody answers.
-    Dark,
+    Unreachable,
     /// All is answered with errors.
     Failing,
 }
 
 /// How a hall is now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Now {
+pub struct ZoneStatistics {
     /// Calls that it serves in a second.
     pub calls_per_s: f64,
     /// How long these take, as a multiple of what is usual anywhere.
-    pub stretch: f64,
+    pub latency_ratio: f64,
     /// Calls a second that are lost there.
     pub lost_per_s: f64,
     /// The part of them that is lost just now, 0 to 1.
-    pub lost: f64,
+    pub lost_share: f64,
     /// Calls a second that are turned away.
-    pub full_per_s: f64,
+    pub rejected_per_s: f64,
     /// The most that it was seen to bear, forgotten within hours.
-    pub most_per_s: f64,
+    pub peak_per_s: f64,
     /// What it was over the last half minute in which it served.
-    pub before_per_s: f64,
+    pub baseline_per_s: f64,
     /// The same.
-    pub before_stretch: f64,
+    pub baseline_latency_ratio: f64,
 }
 
 /// Who stands for what a hall shows.
@@ -183,61 +183,61 @@
     /// Of these, those that lose by it.
     pub losing: u32,
     /// The halls of those.
-    pub halls: BTreeSet<String>,
+    pub zones: BTreeSet<String>,
 }
 
 /// All evidence of late.
 #[derive(Clone, Debug, Default)]
-pub struct Signals {
+pub struct ZoneSignals {
     pairs: BTreeMap<(String, String), Pair>,
-    halls: BTreeMap<String, Seen>,
+    zones: BTreeMap<String, Seen>,
     /// Calls of each sidecar, of all halls: what it needs; and its place, by the tier that it calls.
-    needs: BTreeMap<String, (Rate, String)>,
+    demands: BTreeMap<String, (Rate, String)>,
 }
 
-impl Signals {
+impl ZoneSignals {
     /// A digest of a sidecar.
-    pub fn saw(&mut self, now: Duration, name: &str, digest: &Digest, rules: &PlacesConfig) {
+    pub fn record(&mut self, now: Duration, name: &str, digest: &Digest, rules: &ZoneFailoverConfig) {
         // Calls are rare where a sidecar's are: each counts, but no sidecar's for more than a few.
-        for (to, calls) in &digest.rows {
-            let pair = self.pairs.entry((digest.hall.clone(), to.clone())).or_default();
+        for (to, calls) in &digest.calls_by_zone {
+            let pair = self.pairs.entry((digest.zone.clone(), to.clone())).or_default();
             let told = pair.saw(now, name, calls, rules);
-            let seen = self.halls.entry(to.clone()).or_default();
+            let seen = self.zones.entry(to.clone()).or_default();
             seen.sums.saw(&told, rules);
             seen.saw(now, calls, !pair.is_bad(rules));
         }
-        let known: u32 = digest.rows.values().map(Calls::known).sum();
-        if self.needs.len() < WORDS_MOST || self.needs.contains_key(name) {
-            let (need, home) = self.needs.entry(name.to_owned()).or_default();
+        let known: u32 = digest.calls_by_zone.values().map(CallCounts::total).sum();
+        if self.demands.len() < WORDS_MOST || self.demands.contains_key(name) {
+            let (need, home) = self.demands.entry(name.to_owned()).or_default();
             need.add(now, f64::from(known), FADES_S);
-            if let Some(called) = digest.rows.keys().next() {
-                *home = place(&digest.hall, tier_of(called));
+            if let Some(called) = digest.calls_by_zone.keys().next() {
+                *home = tier_zone(&digest.zone, tier_of(called));
             }
         }
     }
 
     /// What is of nobody any more goes; called now and then.
-    pub fn forget(&mut self, now: Duration) {
-        let old = |at: Duration| now.saturating_sub(at) > FRESH * 20;
+    pub fn expire(&mut self, now: Duration) {
+        let old = |at: Duration| now.saturating_sub(at) > FRESHNESS * 20;
         for pair in self.pairs.values_mut() {
             pair.words.retain(|_, word| !old(word.at));
         }
         self.pairs.retain(|_, pair| !pair.words.is_empty());
-        self.needs.retain(|_, (need, _)| !old(need.at));
+        self.demands.retain(|_, (need, _)| !old(need.at));
     }
 
     /// Halls that anything is known of.
-    pub fn halls(&self) -> impl Iterator<Item = &str> {
-        self.halls.keys().map(String::as_str)
+    pub fn zones(&self) -> impl Iterator<Item = &str> {
+        self.zones.keys().map(String::as_str)
     }
 
     /// Halls whose sidecars have said something of this one lately, what that shows, and when they said the last of it.
-    pub fn of<'a>(
+    pub fn verdicts_on<'a>(
         &'a self,
         now: Duration,
         to: &'a str,
-        rules: &'a PlacesConfig,
-    ) -> impl Iterator<Item = (&'a str, Shows, Duration)> {
+        rules: &'a ZoneFailoverConfig,
+    ) -> impl Iterator<Item = (&'a str, Verdict, Duration)> {
         let pairs = self.pairs.iter().filter(move |((_, other), _)| other == to);
         pairs.filter_map(move |((from, _), pair)| {
             let (shows, at) = pair.shows(now, rules)?;
@@ -246,10 +246,10 @@
     }
 
     /// What all ways into a hall show together.
-    pub fn merged(&self, now: Duration, to: &str, rules: &PlacesConfig) -> Shows {
-        let sums = self.halls.get(to).map(|seen| seen.sums).unwrap_or_default();
-        if !sums.are_over(rules.alarm / 2.0) {
-            return Shows::Well;
+    pub fn merged_verdict(&self, now: Duration, to: &str, rules: &ZoneFailoverConfig) -> Verdict {
+        let sums = self.zones.get(to).map(|seen| seen.sums).unwrap_or_default();
+        if !sums.are_over(rules.alarm_log_likelihood / 2.0) {
+            return Verdict::Healthy;
         }
         let mut words = Words::default();
         let pairs = self.pairs.iter().filter(|((_, other), _)| other == to);
@@ -260,16 +260,16 @@
     /// Who stands for what a hall shows: of all halls, or of one.
     pub fn witnesses(&self, now: Duration, to: &str, from: Option<&str>) -> Witnesses {
         let mut witnesses = Witnesses::default();
-        for ((hall, other), pair) in &self.pairs {
-            if other != to || from.is_some_and(|from| from != hall) {
+        for ((zone, other), pair) in &self.pairs {
+            if other != to || from.is_some_and(|from| from != zone) {
                 continue;
             }
-            let fresh = pair.words.values().filter(|word| now.saturating_sub(word.at) <= FRESH);
+            let fresh = pair.words.values().filter(|word| now.saturating_sub(word.at) <= FRESHNESS);
             for word in fresh {
                 witnesses.all += 1;
                 if word.loses || word.errs {
                     witnesses.losing += 1;
-                    witnesses.halls.insert(hall.clone());
+                    witnesses.zones.insert(zone.clone());
                 }
             }
         }
@@ -283,20 +283,20 @@
         from: &str,
         but: &str,
         since: Duration,
-        rules: &PlacesConfig,
+        rules: &ZoneFailoverConfig,
     ) -> bool {
         let same = |to: &str| to != but && tier_of(to) == tier_of(but);
-        let pairs = self.pairs.iter().filter(|((hall, to), _)| hall == from && same(to));
+        let pairs = self.pairs.iter().filter(|((zone, to), _)| zone == from && same(to));
         pairs
             .filter_map(|(_, pair)| pair.shows(now, rules))
-            .any(|(shows, at)| shows == Shows::Well && at >= since)
+            .any(|(shows, at)| shows == Verdict::Healthy && at >= since)
     }
 
     /// Whether a hall serves most of those who have told of calls into it from then on, and these are enough.
-    pub fn is_served(&self, now: Duration, to: &str, since: Duration, rules: &PlacesConfig) -> bool {
+    pub fn is_served(&self, now: Duration, to: &str, since: Duration, rules: &ZoneFailoverConfig) -> bool {
         let (mut fresh, mut served, mut lost) = (0, 0, 0);
         for (_, pair) in self.pairs.iter().filter(|((_, other), _)| other == to) {
-            for word in pair.words.values().filter(|word| now.saturating_sub(word.at) <= FRESH) {
+            for word in pair.words.values().filter(|word| now.saturating_sub(word.at) <= FRESHNESS) {
                 fresh += 1;
                 served += u32::from(word.served_at.is_some_and(|at| at >= since));
                 lost += u32::from((word.loses || word.errs) && word.at >= since);
@@ -306,8 +306,8 @@
     }
 
     /// How a hall is now.
-    pub fn now(&self, now: Duration, hall: &str) -> Now {
-        let Some(seen) = self.halls.get(hall) else { return Now::default() };
+    pub fn statistics(&self, now: Duration, zone: &str) -> ZoneStatistics {
+        let Some(seen) = self.zones.get(zone) else { return ZoneStatistics::default() };
         // A sum that fades to a third in so many seconds holds so many seconds' worth, once it has run for a while.
         let ran = seen.since.map_or(0.0, |since| now.saturating_sub(since).as_secs_f64());
         let worth = |fades: f64| fades * (1.0 - (-ran / fades).exp());
@@ -315,48 +315,48 @@
         let multiple = |took: f64, usual: f64| if usual > 0.01 { took / usual } else { 1.0 };
         let read = |rate: Rate| rate.read(now, FADES_S);
         // What it was does not fade with time, but with what comes after.
-        Now {
+        ZoneStatistics {
             calls_per_s: per_s(read(seen.served), FADES_S),
-            stretch: multiple(read(seen.took_ms), read(seen.usual_ms)),
+            latency_ratio: multiple(read(seen.took_ms), read(seen.usual_ms)),
             lost_per_s: per_s(read(seen.lost), FADES_S),
-            lost: {
+            lost_share: {
                 let (answered, lost) = (seen.quick.0.read(now, QUICK_S), seen.quick.1.read(now, QUICK_S));
                 if answered + lost > 0.0 { lost / (answered + lost) } else { 0.0 }
             },
-            full_per_s: per_s(read(seen.full), FADES_S),
-            most_per_s: seen.most.read(now, BORNE_FADES_S),
-            before_per_s: seen.before.sum / seen.before_s.sum.max(0.25),
-            before_stretch: multiple(seen.before_took.sum, seen.before_usual.sum),
+            rejected_per_s: per_s(read(seen.full), FADES_S),
+            peak_per_s: seen.most.read(now, BORNE_FADES_S),
+            baseline_per_s: seen.before.sum / seen.before_s.sum.max(0.25),
+            baseline_latency_ratio: multiple(seen.before_took.sum, seen.before_usual.sum),
         }
     }
 
     /// Whether a sidecar calls the tier that a place is of, or has told nothing yet of what it calls.
-    pub fn calls(&self, name: &str, to: &str) -> bool {
-        self.needs.get(name).is_none_or(|(_, home)| home.is_empty() || tier_of(home) == tier_of(to))
+    pub fn calls_tier_of(&self, name: &str, to: &str) -> bool {
+        self.demands.get(name).is_none_or(|(_, home)| home.is_empty() || tier_of(home) == tier_of(to))
     }
 
     /// What each sidecar needs, in calls a second, and its place.
-    pub fn needs(&self, now: Duration) -> impl Iterator<Item = (&str, &str, f64)> + Clone {
-        self.needs
+    pub fn demands(&self, now: Duration) -> impl Iterator<Item = (&str, &str, f64)> + Clone {
+        self.demands
             .iter()
-            .map(move |(name, (need, hall))| (&name[..], &hall[..], need.read(now, FADES_S) / FADES_S))
+            .map(move |(name, (need, zone))| (&name[..], &zone[..], need.read(now, FADES_S) / FADES_S))
     }
 
     /// What one sidecar needs, and its place.
-    pub fn need(&self, now: Duration, name: &str) -> (f64, &str) {
-        self.needs
+    pub fn demand(&self, now: Duration, name: &str) -> (f64, &str) {
+        self.demands
             .get(name)
             .map_or((0.0, ""), |(need, home)| (need.read(now, FADES_S) / FADES_S, &home[..]))
     }
 
     /// What was seen of a hall counts no more: it begins anew, as it has just been left or returned to.
-    pub fn begin_anew(&mut self, hall: &str) {
-        self.pairs.iter_mut().filter(|((_, to), _)| to == hall).for_each(|(_, pair)| pair.begin_anew());
-        self.halls.entry(hall.to_owned()).or_default().sums = Sums::default();
+    pub fn reset_zone(&mut self, zone: &str) {
+        self.pairs.iter_mut().filter(|((_, to), _)| to == zone).for_each(|(_, pair)| pair.begin_anew());
+        self.zones.entry(zone.to_owned()).or_default().sums = Sums::default();
     }
 
     /// The same of one way.
-    pub fn begin_way_anew(&mut self, from: &str, to: &str) {
+    pub fn reset_pair(&mut self, from: &str, to: &str) {
         self.pairs.get_mut(&(from.to_owned(), to.to_owned())).into_iter().for_each(Pair::begin_anew);
     }
 }
@@ -366,30 +366,37 @@
         *self = Pair::default();
     }
 
-    fn saw(&mut self, now: Duration, name: &str, calls: &Calls, rules: &PlacesConfig) -> Told {
-        let calls = calls.capped(CALLS_MOST);
-        let (known, lost) = (calls.known(), calls.lost());
+    fn saw(&mut self, now: Duration, name: &str, calls: &CallCounts, rules: &ZoneFailoverConfig) -> Told {
+        let calls = calls.capped(MAX_CALLS_PER_DIGEST);
+        let (known, lost) = (calls.total(), calls.lost());
         // Who answers probes may still answer no calls: that they are answered says something only where no calls speak. That
         // they are not says as much as a lost call.
-        let probes = calls.there + calls.not_there;
-        let alone = known == 0 && self.called.is_none_or(|at| now.saturating_sub(at) > FRESH);
-        let alone = alone || (known == 0 && calls.not_there > calls.there);
+        let probes = calls.probes_answered + calls.probes_unanswered;
+        let alone = known == 0 && self.called.is_none_or(|at| now.saturating_sub(at) > FRESHNESS);
+        let alone = alone || (known == 0 && calls.probes_unanswered > calls.probes_answered);
         let (lost, answered) = match known {
-            0 => (calls.not_there.min(CALLS_MOST), if alone { calls.there.min(CALLS_MOST) } else { 0 }),
+            0 => (
+                calls.probes_unanswered.min(MAX_CALLS_PER_DIGEST),
+                if alone { calls.probes_answered.min(MAX_CALLS_PER_DIGEST) } else { 0 },
+            ),
             _ => (lost, known - lost.min(known)),
         };
         if known > 0 {
             self.called = Some(now);
         }
-        let streak = if known > 0 { calls.streak.min(lost) } else { 0 };
-        let told = Told { lost, answered, streak, error: calls.error };
+        let streak = if known > 0 { calls.lost_streak.min(lost) } else { 0 };
+        let told = Told { lost, answered, streak, error: calls.failed };
         self.sums.saw(&told, rules);
         if known + probes > 0 && (self.words.len() < WORDS_MOST || self.words.contains_key(name)) {
             let heard = lost + answered;
             let loses = heard > 0 && (lost * 2 > heard || streak >= STREAK);
-            let errs = calls.error * 2 > known.max(1);
+            let errs = calls.failed * 2 > known.max(1);
             // What is told of a while speaks of its last call that was served, and not of now.
-            let ago = if known > 0 { Duration::from_millis(calls.ago_ms.into()) } else { Duration::ZERO };
+            let ago = if known > 0 {
+                Duration::from_millis(calls.last_served_ms_ago.into())
+            } else {
+                Duration::ZERO
+            };
             let well = heard > 0 && streak == 0 && !loses && !errs;
             let word = Word { at: now, loses, errs, served_at: well.then(|| now.saturating_sub(ago)) };
             // One that probes beside its calls has its calls' word stand.
@@ -402,17 +409,19 @@
         told
     }
 
-    fn is_bad(&self, rules: &PlacesConfig) -> bool {
-        self.sums.are_over(rules.alarm / 4.0)
+    fn is_bad(&self, rules: &ZoneFailoverConfig) -> bool {
+        self.sums.are_over(rules.alarm_log_likelihood / 4.0)
     }
 
     /// None where nothing was heard lately.
-    fn shows(&self, now: Duration, rules: &PlacesConfig) -> Option<(Shows, Duration)> {
+    fn shows(&self, now: Duration, rules: &ZoneFailoverConfig) -> Option<(Verdict, Duration)> {
         if !self.is_bad(rules) {
             // Thousands of words need not be counted where nothing speaks against it.
-            let fresh = |at: &Duration| now.saturating_sub(*at) <= FRESH;
+            let fresh = |at: &Duration| now.saturating_sub(*at) <= FRESHNESS;
             let heard = self.heard.filter(fresh)?;
-            return Some(self.well.filter(fresh).map_or((Shows::Unsure, heard), |at| (Shows::Well, at)));
+            return Some(
+                self.well.filter(fresh).map_or((Verdict::Uncertain, heard), |at| (Verdict::Healthy, at)),
+            );
         }
         let words = self.words(now);
         (words.all > 0).then(|| (words.show(&self.sums, rules), words.last))
@@ -420,7 +429,7 @@
 
     fn words(&self, now: Duration) -> Words {
         let mut words = Words::default();
-        for word in self.words.values().filter(|word| now.saturating_sub(word.at) <= FRESH) {
+        for word in self.words.values().filter(|word| now.saturating_sub(word.at) <= FRESHNESS) {
             words.all += 1;
             words.losing += u32::from(word.loses);
             words.erring += u32::from(word.errs);
@@ -437,29 +446,29 @@
     }
 
     /// What sums come to beside them: a majority of the sidecars, so that none of them decides by how much it calls.
-    fn show(&self, sums: &Sums, rules: &PlacesConfig) -> Shows {
-        if sums.lost >= rules.alarm && self.losing * 2 > self.all {
-            Shows::Dark
-        } else if sums.failed >= rules.alarm && self.erring * 2 > self.all {
-            Shows::Failing
+    fn show(&self, sums: &Sums, rules: &ZoneFailoverConfig) -> Verdict {
+        if sums.lost >= rules.alarm_log_likelihood && self.losing * 2 > self.all {
+            Verdict::Unreachable
+        } else if sums.failed >= rules.alarm_log_likelihood && self.erring * 2 > self.all {
+            Verdict::Failing
         } else {
-            Shows::Unsure
+            Verdict::Uncertain
         }
     }
 }
 
 impl Seen {
-    fn saw(&mut self, now: Duration, calls: &Calls, well: bool) {
+    fn saw(&mut self, now: Duration, calls: &CallCounts, well: bool) {
         self.since.get_or_insert(now);
         let (served, took) = (f64::from(calls.served), f64::from(calls.took_ms));
-        let usual = f64::from(calls.usual_ms);
+        let usual = f64::from(calls.expected_ms);
         self.served.add(now, served, FADES_S);
         self.took_ms.add(now, took, FADES_S);
         self.usual_ms.add(now, usual, FADES_S);
         self.lost.add(now, f64::from(calls.lost()), FADES_S);
-        self.quick.0.add(now, f64::from(calls.known().saturating_sub(calls.lost())), QUICK_S);
+        self.quick.0.add(now, f64::from(calls.total().saturating_sub(calls.lost())), QUICK_S);
         self.quick.1.add(now, f64::from(calls.lost()), QUICK_S);
-        self.full.add(now, f64::from(calls.full), FADES_S);
+        self.full.add(now, f64::from(calls.rejected), FADES_S);
         let ran = self.since.map_or(0.0, |since| now.saturating_sub(since).as_secs_f64());
         if well && ran >= FADES_S * 3.0 {
             let rate = self.served.read(now, FADES_S) / FADES_S;
--- a/crates/locality/src/machine/probes.rs
+++ b/crates/zone-failover/src/state_machine/probes.rs
@@ -11,34 +11,34 @@
     pub(super) next: Duration,
 }
 
-impl Machine {
+impl ZoneStateMachine {
     /// Has a hall that is left probed, by a few whose turn it is: of one hall, or of all.
     pub(super) fn probe(
         &mut self,
         now: Duration,
         from: &str,
         to: &str,
-        world: &World,
-        wants: &mut Vec<Wants>,
+        world: &Environment,
+        wants: &mut Vec<Effect>,
     ) {
         let probes = self.probes.entry((from.to_owned(), to.to_owned())).or_default();
         if now < probes.next {
             return;
         }
-        let apart = Duration::from_secs_f64(f64::from(PROBES_EACH) / self.rules.probes);
+        let apart = Duration::from_secs_f64(f64::from(PROBES_EACH) / self.settings.probes_per_s);
         // Once it answers, whether it goes on to is seen soon.
         let answers = probes.last.last() == Some(&true);
         probes.next = now + if answers { apart / ANSWERING } else { apart };
         let callers = self.callers(world, to);
-        let halls: Vec<&Vec<&String>> = callers
+        let zones: Vec<&Vec<&String>> = callers
             .iter()
-            .filter(|(hall, _)| from.is_empty() || **hall == from)
+            .filter(|(zone, _)| from.is_empty() || **zone == from)
             .map(|(_, names)| names)
             .collect();
-        let Some(names) = halls.get(world.turn as usize % halls.len().max(1)) else { return };
-        for name in turn(names, world.turn / halls.len() as u64, 1) {
-            let (sidecar, hall) = (name.to_string(), to.to_owned());
-            wants.push(Wants::Probe { sidecar, hall, count: PROBES_EACH });
+        let Some(names) = zones.get(world.turn as usize % zones.len().max(1)) else { return };
+        for name in turn(names, world.turn / zones.len() as u64, 1) {
+            let (sidecar, zone) = (name.to_string(), to.to_owned());
+            wants.push(Effect::Probe { sidecar, zone, count: PROBES_EACH });
         }
     }
 }
--- a/crates/locality/src/machine/tracking.rs
+++ b/crates/zone-failover/src/state_machine/tracking.rs
@@ -1,7 +1,7 @@
 //! What is counted and since when, for each hall: steps of a return, calls into a hall that is left, and times.
 
-use crate::places::State;
-use curlewhub_fleet::evidence::Calls;
+use crate::zone_states::ZoneState;
+use curlewhub_control_plane::evidence::CallCounts;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Since {
     /// Its state is this, since then.
-    pub(super) state: Option<(State, Duration)>,
+    pub(super) state: Option<(ZoneState, Duration)>,
     pub(super) ill: Option<Duration>,
     pub(super) slow: Option<Duration>,
     pub(super) well: Option<Duration>,
@@ -46,13 +46,13 @@
         self.served + self.lost + self.full + self.error
     }
 
-    pub(super) fn saw(&mut self, calls: &Calls) {
+    pub(super) fn saw(&mut self, calls: &CallCounts) {
         self.served += calls.served;
         self.lost += calls.lost();
-        self.full += calls.full;
-        self.error += calls.error;
+        self.full += calls.rejected;
+        self.error += calls.failed;
         self.took_ms += calls.took_ms;
-        self.usual_ms += calls.usual_ms;
+        self.usual_ms += calls.expected_ms;
     }
 }
 
@@ -63,7 +63,7 @@
     }
 
     /// Counts a sidecar's calls; after [`ALONG_OVER`] it begins anew.
-    pub(super) fn saw(&mut self, now: Duration, name: &str, calls: &Calls) {
+    pub(super) fn saw(&mut self, now: Duration, name: &str, calls: &CallCounts) {
         if now.saturating_sub(self.since) > ALONG_OVER {
             *self = Along::from(now);
         }
--- a/crates/locality/src/part.rs
+++ b/crates/zone-failover/src/zone_policy.rs
@@ -1,12 +1,12 @@
 //! A sidecar's part in halls: what it may send where, by what the fleet has decided and granted; and where it has lost the
 //! keepers for long, by its own calls.
 
-use crate::machine::{Machine, Moved, Wants, World};
-use crate::places::{PLACES, Places, State};
-use curlewhub_config::fleet::PlacesConfig;
-use curlewhub_fleet::acted::Acted;
-use curlewhub_fleet::evidence::Digest;
-use curlewhub_fleet::record::Version;
+use crate::state_machine::{Effect, Environment, Transition, ZoneStateMachine};
+use crate::zone_states::{ZONE_STATES_KEY, ZoneState, ZoneStates};
+use curlewhub_config::fleet::ZoneFailoverConfig;
+use curlewhub_control_plane::applied::AppliedRecords;
+use curlewhub_control_plane::evidence::Digest;
+use curlewhub_control_plane::record::Version;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -17,30 +17,30 @@
 
 /// What may go into a hall.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Right {
+pub enum ZoneAccess {
     /// Anything.
     Open,
     /// This part of what would go there, 0 to 1.
-    Part(f64),
+    Share(f64),
     /// So many calls a second until then, and nothing from then on.
     Rate(f64, Duration),
     /// Nothing new; what is out goes on.
     Closed,
     /// Nothing new, and what is out goes elsewhere as its class permits: nobody answers there.
-    Dark,
+    Unreachable,
 }
 
 /// What the host does, or should know.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// From now on these rights hold, by hall; all of them.
-    Rights(Vec<(String, Right)>),
+    AccessChanged(Vec<(String, ZoneAccess)>),
     /// Probe a hall so often.
     Probe(String, u32),
     /// It goes by its own calls from now on, or by its fleet again.
-    Alone(bool),
+    Autonomous(bool),
     /// It has moved a hall by its own calls.
-    Moved(Moved),
+    Transition(Transition),
 }
 
 /// What it was granted.
@@ -52,67 +52,69 @@
 
 /// A sidecar's part.
 #[derive(Clone, Debug)]
-pub struct Part {
+pub struct ZonePolicy {
     name: String,
-    hall: String,
-    halls: Vec<String>,
-    rules: PlacesConfig,
+    zone: String,
+    zones: Vec<String>,
+    rules: ZoneFailoverConfig,
     /// As the fleet has decided.
-    places: Places,
+    zone_states: ZoneStates,
     version: Version,
     /// Its own, used while it is alone.
-    machine: Machine,
-    alone: bool,
+    state_machine: ZoneStateMachine,
+    autonomous: bool,
     /// When its digests were told, the newest last.
     asked: VecDeque<(u64, Duration)>,
     grants: BTreeMap<String, Grant>,
     /// The latest term that anything was granted in: what an earlier leader grants is not taken.
     term: u64,
-    rights: Vec<(String, Right)>,
+    access: Vec<(String, ZoneAccess)>,
     look_at: Duration,
     turn: u64,
     /// Grants that were not taken: of an earlier term, or too late.
-    pub not_granted: u64,
+    pub rejected_grants: u64,
 }
 
-impl Part {
+impl ZonePolicy {
     /// One in this hall, of a fleet or of none.
-    pub fn new(name: &str, hall: &str, halls: Vec<String>, rules: PlacesConfig) -> Part {
-        let rights = halls.iter().map(|hall| (hall.clone(), Right::Open)).collect();
-        let machine = Machine::new(PlacesConfig { witnesses: 1, halls_of_witnesses: 1, ..rules.clone() });
-        let (places, version, alone, asked, grants, term, look_at, turn, not_granted) = Default::default();
-        Part {
+    pub fn new(name: &str, zone: &str, zones: Vec<String>, rules: ZoneFailoverConfig) -> ZonePolicy {
+        let rights = zones.iter().map(|zone| (zone.clone(), ZoneAccess::Open)).collect();
+        let state_machine =
+            ZoneStateMachine::new(ZoneFailoverConfig { witnesses: 1, witness_zones: 1, ..rules.clone() });
+        let (zone_states, version, alone, asked, grants, term, look_at, turn, not_granted) =
+            Default::default();
+        ZonePolicy {
             name: name.to_owned(),
-            hall: hall.to_owned(),
-            halls,
+            zone: zone.to_owned(),
+            zones,
             rules,
-            places,
+            zone_states,
             version,
-            machine,
-            alone,
+            state_machine,
+            autonomous: alone,
             asked,
             grants,
             term,
-            rights,
+            access: rights,
             look_at,
             turn,
-            not_granted,
+            rejected_grants: not_granted,
         }
     }
 
     /// What may go where.
-    pub fn rights(&self) -> &[(String, Right)] {
-        &self.rights
+    pub fn access(&self) -> &[(String, ZoneAccess)] {
+        &self.access
     }
 
     /// Whether it goes by its own calls.
-    pub fn is_alone(&self) -> bool {
-        self.alone
+    pub fn is_autonomous(&self) -> bool {
+        self.autonomous
     }
 
     /// How halls stand for it.
-    pub fn places(&self) -> &Places {
-        if self.alone { self.machine.places() } else { &self.places }
+    pub fn zone_states(&self) -> &ZoneStates {
+        if self.autonomous { self.state_machine.zone_states() } else { &self.zone_states }
     }
 
     /// The version that decided how halls stand for it.
@@ -121,26 +123,27 @@
     }
 
     /// Whether keepers must hear of it though it has seen nothing: it lives by grants.
-    pub fn renews(&self) -> bool {
-        !self.alone && self.places.halls.values().any(|held| matches!(held.state, State::Returning(_)))
+    pub fn needs_renewal(&self) -> bool {
+        !self.autonomous
+            && self.zone_states.zones.values().any(|held| matches!(held.state, ZoneState::Returning(_)))
     }
 
     /// This is acted on.
-    pub fn acts(&mut self, now: Duration, acted: &Acted) -> Vec<Action> {
-        let Some(record) = acted.get(PLACES).filter(|record| record.version > self.version) else {
+    pub fn apply(&mut self, now: Duration, acted: &AppliedRecords) -> Vec<Action> {
+        let Some(record) = acted.get(ZONE_STATES_KEY).filter(|record| record.version > self.version) else {
             return Vec::new();
         };
         self.version = record.version;
         // What is acted on has been read before; what can't be changes nothing.
-        if let Ok(places) = Places::read(&record.proposal.body) {
-            self.grants.retain(|hall, _| matches!(places.state(hall), State::Returning(_)));
-            self.places = places;
+        if let Ok(zone_states) = ZoneStates::decode(&record.proposal.body) {
+            self.grants.retain(|zone, _| matches!(zone_states.state(zone), ZoneState::Returning(_)));
+            self.zone_states = zone_states;
         }
         self.changed(now)
     }
 
     /// A digest of its calls is told now.
-    pub fn told(&mut self, now: Duration, digest: &Digest) {
+    pub fn evidence_sent(&mut self, now: Duration, digest: &Digest) {
         self.asked.push_back((digest.sequence, now));
         if self.asked.len() > ASKED_MOST {
             self.asked.pop_front();
@@ -148,12 +151,12 @@
     }
 
     /// Its own calls have shown this.
-    pub fn saw(&mut self, now: Duration, digest: &Digest) {
-        self.machine.saw(now, &self.name, digest);
+    pub fn record(&mut self, now: Duration, digest: &Digest) {
+        self.state_machine.record(now, &self.name, digest);
     }
 
     /// A keeper grants it calls into returning halls, for so long from when it asked by that digest.
-    pub fn granted(
+    pub fn handle_grant(
         &mut self,
         now: Duration,
         term: u64,
@@ -162,23 +165,23 @@
         rates: &[(String, f64)],
     ) -> Vec<Action> {
         let asked = self.asked.iter().find(|(sequence, _)| *sequence == of).map(|(_, at)| *at);
-        let until = asked.map(|at| at + lasts.min(self.rules.grant.0));
+        let until = asked.map(|at| at + lasts.min(self.rules.grant_validity.0));
         let Some(until) = until.filter(|until| now < *until && term >= self.term) else {
-            self.not_granted += 1;
+            self.rejected_grants += 1;
             return Vec::new();
         };
         self.term = term;
-        for (hall, rate) in rates {
+        for (zone, rate) in rates {
             let sound = rate.is_finite() && *rate >= 0.0;
-            if sound && matches!(self.places.state(hall), State::Returning(_)) {
-                self.grants.insert(hall.clone(), Grant { rate: *rate, until });
+            if sound && matches!(self.zone_states.state(zone), ZoneState::Returning(_)) {
+                self.grants.insert(zone.clone(), Grant { rate: *rate, until });
             }
         }
         self.changed(now)
     }
 
     /// When it wants to be called again at the latest.
-    pub fn next(&self) -> Duration {
+    pub fn next_wakeup(&self) -> Duration {
         let ends = self.grants.values().map(|grant| grant.until).min();
         ends.map_or(self.look_at, |at| at.min(self.look_at))
     }
@@ -186,15 +189,15 @@
     /// Time has passed; `age` is how long ago a keeper confirmed the view, if one has since the start, which was so long ago.
     pub fn tick(&mut self, now: Duration, age: Option<Duration>, started: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
-        let old = age.unwrap_or(started) >= self.rules.alone_after.0;
-        if old != self.alone {
-            self.alone = old;
+        let old = age.unwrap_or(started) >= self.rules.autonomous_after.0;
+        if old != self.autonomous {
+            self.autonomous = old;
             if old {
                 // It goes on from what the fleet had decided.
-                let places = self.places.clone();
-                self.machine.decided(now, &places);
+                let zone_states = self.zone_states.clone();
+                self.state_machine.apply(now, &zone_states);
             }
-            actions.push(Action::Alone(old));
+            actions.push(Action::Autonomous(old));
         }
         if now >= self.look_at {
             self.look_at = now + LOOK;
@@ -208,17 +211,17 @@
 
     /// What its own calls come to, if it goes by them.
     fn look(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if !self.alone {
+        if !self.autonomous {
             return;
         }
-        let sidecars = [(self.hall.clone(), vec![self.name.clone()])].into();
-        let world = World { sidecars, turn: self.turn, ..World::default() };
-        for wanted in self.machine.tick(now, &world) {
+        let sidecars = [(self.zone.clone(), vec![self.name.clone()])].into();
+        let world = Environment { sidecars, turn: self.turn, ..Environment::default() };
+        for wanted in self.state_machine.tick(now, &world) {
             match wanted {
-                Wants::Probe { hall, count, .. } => actions.push(Action::Probe(hall, count)),
-                Wants::Decide { places, moves } => {
-                    self.machine.decided(now, &places);
-                    actions.extend(moves.into_iter().map(Action::Moved));
+                Effect::Probe { zone, count, .. } => actions.push(Action::Probe(zone, count)),
+                Effect::Propose { states: zone_states, transitions: moves } => {
+                    self.state_machine.apply(now, &zone_states);
+                    actions.extend(moves.into_iter().map(Action::Transition));
                 }
             }
         }
@@ -226,30 +229,34 @@
 
     /// Its rights, where they are others than before.
     fn changed(&mut self, now: Duration) -> Vec<Action> {
-        let rights: Vec<(String, Right)> =
-            self.halls.iter().map(|hall| (hall.clone(), self.right(now, hall))).collect();
-        if rights == self.rights {
+        let rights: Vec<(String, ZoneAccess)> =
+            self.zones.iter().map(|zone| (zone.clone(), self.right(now, zone))).collect();
+        if rights == self.access {
             return Vec::new();
         }
-        self.rights = rights;
-        vec![Action::Rights(self.rights.clone())]
+        self.access = rights;
+        vec![Action::AccessChanged(self.access.clone())]
     }
 
-    fn right(&self, now: Duration, hall: &str) -> Right {
-        let places = self.places();
-        if places.is_cut(&self.hall, hall) {
-            return Right::Dark;
+    fn right(&self, now: Duration, zone: &str) -> ZoneAccess {
+        let zone_states = self.zone_states();
+        if zone_states.is_cut(&self.zone, zone) {
+            return ZoneAccess::Unreachable;
         }
-        match places.state(hall) {
-            State::Serving => Right::Open,
-            State::Leaving(part) => Right::Part(part),
-            State::Left if places.halls.get(hall).is_some_and(|held| held.by_hand) => Right::Closed,
-            State::Left => Right::Dark,
+        match zone_states.state(zone) {
+            ZoneState::Serving => ZoneAccess::Open,
+            ZoneState::Leaving(part) => ZoneAccess::Share(part),
+            ZoneState::Left if zone_states.zones.get(zone).is_some_and(|held| held.overridden) => {
+                ZoneAccess::Closed
+            }
+            ZoneState::Left => ZoneAccess::Unreachable,
             // Alone, a budget is its own: what it bore of its calls alone, by steps.
-            State::Returning(rate) if self.alone => Right::Rate(rate, now + self.rules.grant.0),
-            State::Returning(_) => match self.grants.get(hall) {
-                Some(grant) if now < grant.until => Right::Rate(grant.rate, grant.until),
-                _ => Right::Closed,
+            ZoneState::Returning(rate) if self.autonomous => {
+                ZoneAccess::Rate(rate, now + self.rules.grant_validity.0)
+            }
+            ZoneState::Returning(_) => match self.grants.get(zone) {
+                Some(grant) if now < grant.until => ZoneAccess::Rate(grant.rate, grant.until),
+                _ => ZoneAccess::Closed,
             },
         }
     }
--- a/crates/locality/src/places.rs
+++ b/crates/zone-failover/src/zone_states.rs
@@ -1,28 +1,28 @@
 //! What is decided of halls: one record of all that are not simply served, so that a change is one version, whole or not at
 //! all.
 
-use curlewhub_fleet::record::Record;
+use curlewhub_control_plane::record::Record;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// The key of that record.
-pub const PLACES: &str = "places";
+pub const ZONE_STATES_KEY: &str = "places";
 /// Keys of what operators have decided: of a hall or region by its name, and of all.
-pub const HAND: &str = "hand/";
+pub const OVERRIDE_KEY_PREFIX: &str = "hand/";
 /// The key that all automatic moves stand still by.
-pub const FREEZE: &str = "freeze";
+pub const FREEZE_KEY: &str = "freeze";
 /// Halls at the most.
-pub const HALLS_MOST: usize = 1000;
+pub const MAX_ZONES: usize = 1000;
 
 /// A tier's endpoints in a hall, which are left and returned to as one. Those of the clients' tier go by the hall's name, those of
-/// the tiers below by it and their tier's number: `hall-b/1`.
-pub fn place(hall: &str, tier: u32) -> String {
-    if tier == 0 { hall.to_owned() } else { format!("{hall}/{tier}") }
+/// the tiers below by it and their tier's number: `zone-b/1`.
+pub fn tier_zone(zone: &str, tier: u32) -> String {
+    if tier == 0 { zone.to_owned() } else { format!("{zone}/{tier}") }
 }
 
 /// The hall that a place is in.
-pub fn hall_of(place: &str) -> &str {
-    place.split_once('/').map_or(place, |(hall, _)| hall)
+pub fn zone_of(place: &str) -> &str {
+    place.split_once('/').map_or(place, |(zone, _)| zone)
 }
 
 /// The tier of a place.
@@ -33,7 +33,7 @@
 /// How a hall stands.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum ZoneState {
     /// As any other.
     Serving,
     /// It is slow: only this part of the calls that would go there may, 0 to 1.
@@ -46,105 +46,111 @@
 
 /// What a hall was before it was left.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Before {
+pub struct Baseline {
     /// Calls that it served in a second.
     pub calls_per_s: f64,
     /// How long they took, as a multiple of what is usual anywhere.
-    pub stretch: f64,
+    #[serde(rename = "stretch")]
+    pub latency_ratio: f64,
 }
 
 /// A hall that is not simply served, or was not lately.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Hall {
+pub struct ZoneRecord {
     /// How it stands.
-    pub state: State,
+    pub state: ZoneState,
     /// Why, for people.
     pub why: String,
     /// What it was before it was left.
     #[serde(default)]
-    pub before: Before,
+    #[serde(rename = "before")]
+    pub baseline: Baseline,
     /// How often it was left in a row, each time soon after it had returned.
     #[serde(default)]
     pub flaps: u32,
     /// An operator has it so.
     #[serde(default)]
-    pub by_hand: bool,
+    #[serde(rename = "by_hand")]
+    pub overridden: bool,
 }
 
 /// All of it. What a newer build adds is passed over by this one.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Places {
+pub struct ZoneStates {
     /// By name; a hall that is not there is simply served.
     #[serde(default)]
-    pub halls: BTreeMap<String, Hall>,
+    #[serde(rename = "halls")]
+    pub zones: BTreeMap<String, ZoneRecord>,
     /// By hall: others that its sidecars leave, since only the way there is cut.
     #[serde(default)]
-    pub cut: BTreeMap<String, BTreeMap<String, String>>,
+    #[serde(rename = "cut")]
+    pub cut_pairs: BTreeMap<String, BTreeMap<String, String>>,
 }
 
 /// Why a record of places can't be.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Senseless {
+pub enum InvalidRecord {
     /// Its words can't be read.
     #[error("{0}")]
-    Unread(String),
+    Malformed(String),
     /// A number in it can't be.
     #[error("halls.{0}: {1}")]
     Number(String, &'static str),
     /// Too many halls.
-    #[error("halls: allowed: up to {HALLS_MOST}")]
+    #[error("halls: allowed: up to {MAX_ZONES}")]
     TooMany,
 }
 
-impl Places {
+impl ZoneStates {
     /// Out of a record's body.
     ///
     /// # Errors
     /// Why it makes no sense.
-    pub fn read(body: &[u8]) -> Result<Places, Senseless> {
-        let places: Places = serde_json::from_slice(body).map_err(|e| Senseless::Unread(e.to_string()))?;
-        if places.halls.len() > HALLS_MOST || places.cut.len() > HALLS_MOST {
-            return Err(Senseless::TooMany);
+    pub fn decode(body: &[u8]) -> Result<ZoneStates, InvalidRecord> {
+        let zone_states: ZoneStates =
+            serde_json::from_slice(body).map_err(|e| InvalidRecord::Malformed(e.to_string()))?;
+        if zone_states.zones.len() > MAX_ZONES || zone_states.cut_pairs.len() > MAX_ZONES {
+            return Err(InvalidRecord::TooMany);
         }
-        for (name, hall) in &places.halls {
-            let wrong = |why| Err(Senseless::Number(name.clone(), why));
-            match hall.state {
-                State::Leaving(part) if !(0.0..=1.0).contains(&part) => {
+        for (name, zone) in &zone_states.zones {
+            let wrong = |why| Err(InvalidRecord::Number(name.clone(), why));
+            match zone.state {
+                ZoneState::Leaving(part) if !(0.0..=1.0).contains(&part) => {
                     return wrong("leaving: allowed: 0 to 1");
                 }
-                State::Returning(rate) if !(0.0..=1e9).contains(&rate) => {
+                ZoneState::Returning(rate) if !(0.0..=1e9).contains(&rate) => {
                     return wrong("returning: allowed: 0 to 1e9");
                 }
                 _ => {}
             }
-            let Before { calls_per_s, stretch } = hall.before;
+            let Baseline { calls_per_s, latency_ratio: stretch } = zone.baseline;
             if !(0.0..=1e9).contains(&calls_per_s) || !(0.0..=1e9).contains(&stretch) {
                 return wrong("before: allowed: 0 to 1e9");
             }
         }
-        Ok(places)
+        Ok(zone_states)
     }
 
     /// As a record's body.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default() // text keys and finite numbers: it never fails
     }
 
     /// How a hall stands.
-    pub fn state(&self, hall: &str) -> State {
-        self.halls.get(hall).map_or(State::Serving, |hall| hall.state)
+    pub fn state(&self, zone: &str) -> ZoneState {
+        self.zones.get(zone).map_or(ZoneState::Serving, |zone| zone.state)
     }
 
     /// Whether sidecars of a hall leave another, since the way there is cut.
     pub fn is_cut(&self, from: &str, to: &str) -> bool {
-        self.cut.get(from).is_some_and(|cut| cut.contains_key(to))
+        self.cut_pairs.get(from).is_some_and(|cut| cut.contains_key(to))
     }
 }
 
 /// What an operator wants of a hall or region.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Hand {
+pub enum OverrideAction {
     /// Leave it, at once.
     Leave,
     /// Return to it, by steps.
@@ -157,11 +163,13 @@
 
 /// An operator's word on a hall or region.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct ByHand {
+pub struct OperatorOverride {
     /// What is wanted.
-    pub what: Hand,
+    #[serde(rename = "what")]
+    pub action: OverrideAction,
     /// Until then, in milliseconds of Unix time: it must be renewed, or the place goes by itself again.
-    pub until_ms: u64,
+    #[serde(rename = "until_ms")]
+    pub expires_unix_ms: u64,
 }
 
 /// Whether all automatic moves stand still.
@@ -175,13 +183,15 @@
 ///
 /// # Errors
 /// Why it makes no sense.
-pub fn check(record: &Record) -> Result<(), Senseless> {
+pub fn check(record: &Record) -> Result<(), InvalidRecord> {
     let body = &record.proposal.body;
-    let unread = |e: serde_json::Error| Senseless::Unread(e.to_string());
+    let unread = |e: serde_json::Error| InvalidRecord::Malformed(e.to_string());
     match &record.proposal.key[..] {
-        PLACES => Places::read(body).map(|_| ()),
-        FREEZE => serde_json::from_slice::<Freeze>(body).map(|_| ()).map_err(unread),
-        key if key.starts_with(HAND) => serde_json::from_slice::<ByHand>(body).map(|_| ()).map_err(unread),
-        _ => Err(Senseless::Unread("key: allowed: places, freeze or hand/NAME".to_owned())),
+        ZONE_STATES_KEY => ZoneStates::decode(body).map(|_| ()),
+        FREEZE_KEY => serde_json::from_slice::<Freeze>(body).map(|_| ()).map_err(unread),
+        key if key.starts_with(OVERRIDE_KEY_PREFIX) => {
+            serde_json::from_slice::<OperatorOverride>(body).map(|_| ()).map_err(unread)
+        }
+        _ => Err(InvalidRecord::Malformed("key: allowed: places, freeze or hand/NAME".to_owned())),
     }
 }
