--- a/crates/locality/tests/machine.rs
+++ b/crates/zone-failover/tests/state_machine.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
-use curlewhub_config::fleet::PlacesConfig;
-use curlewhub_locality::machine::{Override, World};
-use curlewhub_locality::places::{Hand, State};
+use curlewhub_config::fleet::ZoneFailoverConfig;
+use curlewhub_zone_failover::state_machine::{ActiveOverride, Environment};
+use curlewhub_zone_failover::zone_states::{OverrideAction, ZoneState};
 use std::time::Duration;
 use support::{Fleet, Way};
 
@@ -13,18 +13,18 @@
 const HALLS: [&str; 3] = ["a", "b", "c"];
 
 fn three(seed: u64) -> Fleet {
-    let mut fleet = Fleet::new(&HALLS, 4, PlacesConfig::default(), seed);
+    let mut fleet = Fleet::new(&HALLS, 4, ZoneFailoverConfig::default(), seed);
     fleet.run(SECOND * 10);
     assert!(fleet.moves.is_empty(), "{:?}", fleet.moves);
     fleet
 }
 
-fn left(state: State) -> bool {
-    state == State::Left
+fn left(state: ZoneState) -> bool {
+    state == ZoneState::Left
 }
 
-fn served(state: State) -> bool {
-    state == State::Serving
+fn served(state: ZoneState) -> bool {
+    state == ZoneState::Serving
 }
 
 /// What goes wrong, which halls are left for it within two seconds, and which ways.
@@ -40,8 +40,8 @@
     ("two halls are silent", |f| f.all_into(&["a", "b"], Way::Silent), &["a", "b"], &[]),
     ("all halls are silent, as a tier below them is", |f| f.all_into(&HALLS, Way::Silent), &[], &[]),
     ("all halls answer with errors", |f| f.all_into(&HALLS, Way::Errors), &[], &[]),
-    ("a third of the calls into a hall is lost", |f| f.all_into(&["b"], Way::Part(0.33)), &[], &[]),
-    ("two thirds of the calls into all halls are lost", |f| f.all_into(&HALLS, Way::Part(0.66)), &[], &[]),
+    ("a third of the calls into a hall is lost", |f| f.all_into(&["b"], Way::Share(0.33)), &[], &[]),
+    ("two thirds of the calls into all halls are lost", |f| f.all_into(&HALLS, Way::Share(0.66)), &[], &[]),
     ("the way from a to b is cut", |f| _ = f.ways.insert(("a", "b"), Way::Silent), &[], &[("a", "b")]),
     (
         "a is cut off from both others",
@@ -66,24 +66,24 @@
 
 #[test]
 fn halls_are_left_for_what_befalls_them_and_for_nothing_else() {
-    for (case, begin, halls, ways) in CASES {
+    for (case, begin, zones, ways) in CASES {
         for seed in 0..5 {
             let mut fleet = three(seed);
             begin(&mut fleet);
             let from = fleet.now;
             fleet.run(SECOND * 4);
-            for hall in HALLS {
-                let after = fleet.after(from, hall, left);
-                if halls.contains(&hall) {
+            for zone in HALLS {
+                let after = fleet.after(from, zone, left);
+                if zones.contains(&zone) {
                     assert!(
                         after.is_some_and(|after| after <= SECOND * 2),
-                        "{case}, seed {seed}: {hall} {after:?}"
+                        "{case}, seed {seed}: {zone} {after:?}"
                     );
                 } else {
-                    assert_eq!(after, None, "{case}, seed {seed}: {hall}: {:?}", fleet.moves);
+                    assert_eq!(after, None, "{case}, seed {seed}: {zone}: {:?}", fleet.moves);
                 }
             }
-            let cut: Vec<(&str, &str)> = (fleet.machine.places().cut.iter())
+            let cut: Vec<(&str, &str)> = (fleet.state_machine.zone_states().cut_pairs.iter())
                 .flat_map(|(from, cut)| cut.keys().map(move |to| (&from[..], &to[..])))
                 .collect();
             assert_eq!(cut, *ways, "{case}, seed {seed}: {:?}", fleet.moves);
@@ -97,13 +97,15 @@
         let mut fleet = three(seed);
         fleet.all_into(&["b"], Way::Gone);
         fleet.run(SECOND * 4);
-        assert_eq!(fleet.state("b"), State::Left);
+        assert_eq!(fleet.state("b"), ZoneState::Left);
         fleet.all_into(&["b"], Way::Well);
         let from = fleet.now;
         fleet.run(SECOND * 12);
         let steps: Vec<f64> = (fleet.moves.iter())
-            .filter(|(at, moved)| *at >= from && moved.hall == "b")
-            .filter_map(|(_, moved)| if let State::Returning(rate) = moved.to { Some(rate) } else { None })
+            .filter(|(at, moved)| *at >= from && moved.zone == "b")
+            .filter_map(
+                |(_, moved)| if let ZoneState::Returning(rate) = moved.to { Some(rate) } else { None },
+            )
             .collect();
         assert!(steps.len() >= 3 && steps.is_sorted(), "seed {seed}: {steps:?}");
         // The first lets in a fifth of what it bore: four sidecars of 24 calls, and eight of 3.
@@ -115,7 +117,11 @@
         );
         // After a minute nothing is left to be said of it.
         fleet.run(SECOND * 65);
-        assert!(fleet.machine.places().halls.is_empty(), "seed {seed}: {:?}", fleet.machine.places());
+        assert!(
+            fleet.state_machine.zone_states().zones.is_empty(),
+            "seed {seed}: {:?}",
+            fleet.state_machine.zone_states()
+        );
     }
 }
 
@@ -126,7 +132,7 @@
         (Way::Gone, false, "gone again"),
         (Way::Errors, false, "errors"),
         (Way::Slow(6.0), false, "cold still"),
-        (Way::Part(0.2), false, "one in five lost"),
+        (Way::Share(0.2), false, "one in five lost"),
         (Way::Slow(1.3), true, "a little slow"),
     ];
     for (way, back, case) in cases {
@@ -136,7 +142,7 @@
         // Probes are answered.
         fleet.all_into(&["b"], Way::Well);
         let from = fleet.now;
-        while !matches!(fleet.state("b"), State::Returning(_)) {
+        while !matches!(fleet.state("b"), ZoneState::Returning(_)) {
             fleet.run(MS * 50);
             assert!(fleet.now < from + SECOND * 10, "{case}");
         }
@@ -146,7 +152,7 @@
         assert_eq!(fleet.after(from, "b", served).is_some(), back, "{case}: {:?}", fleet.moves);
         let most =
             fleet.moves.iter().filter(|(at, _)| *at > from).filter_map(|(_, moved)| match moved.to {
-                State::Returning(rate) => Some(rate),
+                ZoneState::Returning(rate) => Some(rate),
                 _ => None,
             });
         let most = most.fold(0.0, f64::max);
@@ -163,15 +169,15 @@
         fleet.all_into(&["b"], if flip % 2 == 0 { Way::Gone } else { Way::Well });
         fleet.run(SECOND * 3);
         match (fleet.state("b"), left_at) {
-            (State::Left, None) => left_at = Some(fleet.now),
-            (State::Serving, Some(at)) => {
+            (ZoneState::Left, None) => left_at = Some(fleet.now),
+            (ZoneState::Serving, Some(at)) => {
                 away.push(fleet.now - at);
                 left_at = None;
             }
             _ => {}
         }
     }
-    let leaves = fleet.moves.iter().filter(|(_, moved)| moved.to == State::Left).count();
+    let leaves = fleet.moves.iter().filter(|(_, moved)| moved.to == ZoneState::Left).count();
     assert!(leaves <= 8, "{leaves} leaves in two minutes: {:?}", fleet.moves);
 }
 
@@ -180,13 +186,13 @@
     let mut fleet = three(5);
     fleet.all_into(&["b"], Way::Gone);
     fleet.run(SECOND * 3);
-    fleet.all_into(&["b"], Way::Part(0.5));
+    fleet.all_into(&["b"], Way::Share(0.5));
     let from = fleet.now;
-    while !matches!(fleet.state("b"), State::Returning(_)) {
+    while !matches!(fleet.state("b"), ZoneState::Returning(_)) {
         fleet.run(MS * 50);
         assert!(fleet.now < from + SECOND * 15);
     }
-    let bore = fleet.machine.places().halls["b"].before.calls_per_s;
+    let bore = fleet.state_machine.zone_states().zones["b"].baseline.calls_per_s;
     assert!((30.0..95.0).contains(&bore), "{bore} of about 120");
 }
 
@@ -197,22 +203,22 @@
     let from = fleet.now;
     fleet.run(SECOND * 8);
     let parts: Vec<f64> = (fleet.moves.iter())
-        .filter_map(|(_, moved)| if let State::Leaving(part) = moved.to { Some(part) } else { None })
+        .filter_map(|(_, moved)| if let ZoneState::Leaving(part) = moved.to { Some(part) } else { None })
         .collect();
     assert_eq!(parts.first(), Some(&0.5));
     assert!(parts.len() >= 3 && *parts.last().unwrap() <= 0.125, "{parts:?}");
-    assert!(fleet.after(from, "b", |state| state == State::Leaving(0.5)) >= Some(SECOND * 2));
+    assert!(fleet.after(from, "b", |state| state == ZoneState::Leaving(0.5)) >= Some(SECOND * 2));
     fleet.all_into(&["b"], Way::Well);
     fleet.run(SECOND * 20);
-    assert_eq!(fleet.state("b"), State::Serving, "{:?}", fleet.moves);
+    assert_eq!(fleet.state("b"), ZoneState::Serving, "{:?}", fleet.moves);
     // Where the others turn calls away, a part comes back, and nothing more is shifted to them.
     let mut fleet = three(6);
     fleet.all_into(&["b"], Way::Slow(10.0));
     fleet.run(SECOND * 5);
-    assert!(matches!(fleet.state("b"), State::Leaving(_)));
+    assert!(matches!(fleet.state("b"), ZoneState::Leaving(_)));
     fleet.all_into(&["a", "c"], Way::Busy(0.2));
     fleet.run(SECOND * 6);
-    assert_eq!(fleet.state("b"), State::Serving, "{:?}", fleet.moves);
+    assert_eq!(fleet.state("b"), ZoneState::Serving, "{:?}", fleet.moves);
     // All of them slow is no hall's fault.
     let mut fleet = three(7);
     fleet.all_into(&HALLS, Way::Slow(10.0));
@@ -222,34 +228,40 @@
 
 #[test]
 fn a_region_is_left_whole_and_its_halls_come_back_one_after_another() {
-    let halls = ["a1", "a2", "b1", "b2", "c1", "c2"];
+    let zones = ["a1", "a2", "b1", "b2", "c1", "c2"];
     let regions = [("a", ["a1", "a2"]), ("b", ["b1", "b2"]), ("c", ["c1", "c2"])];
-    let regions = regions.map(|(name, halls)| (name.to_owned(), halls.map(str::to_owned).to_vec()));
-    let rules =
-        PlacesConfig { regions: regions.into_iter().collect(), at_once: 1, ..PlacesConfig::default() };
-    let mut fleet = Fleet::new(&halls, 3, rules, 8);
+    let regions = regions.map(|(name, zones)| (name.to_owned(), zones.map(str::to_owned).to_vec()));
+    let rules = ZoneFailoverConfig {
+        regions: regions.into_iter().collect(),
+        max_concurrent_failovers: 1,
+        ..ZoneFailoverConfig::default()
+    };
+    let mut fleet = Fleet::new(&zones, 3, rules, 8);
     fleet.run(SECOND * 10);
     fleet.all_into(&["b1", "b2"], Way::Silent);
     // Its own sidecars can't be reached either.
-    fleet.world.sidecars.retain(|hall, _| !hall.starts_with('b'));
+    fleet.world.sidecars.retain(|zone, _| !zone.starts_with('b'));
     let from = fleet.now;
     fleet.run(SECOND * 3);
-    for hall in ["b1", "b2"] {
-        assert!(fleet.after(from, hall, left).is_some_and(|after| after < SECOND * 2), "{:?}", fleet.moves);
+    for zone in ["b1", "b2"] {
+        assert!(fleet.after(from, zone, left).is_some_and(|after| after < SECOND * 2), "{:?}", fleet.moves);
     }
     // A hall of another region may not be left beside it.
     fleet.all_into(&["a1"], Way::Gone);
     fleet.run(SECOND * 2);
-    assert_eq!(fleet.state("a1"), State::Serving);
+    assert_eq!(fleet.state("a1"), ZoneState::Serving);
     fleet.all_into(&["a1", "b1", "b2"], Way::Well);
     let mut together = 0;
     for _ in 0..400 {
         fleet.run(MS * 50);
         let returning =
-            ["b1", "b2"].iter().filter(|hall| matches!(fleet.state(hall), State::Returning(_))).count();
+            ["b1", "b2"].iter().filter(|zone| matches!(fleet.state(zone), ZoneState::Returning(_))).count();
         together = together.max(returning);
     }
-    assert_eq!((together, fleet.state("b1"), fleet.state("b2")), (1, State::Serving, State::Serving));
+    assert_eq!(
+        (together, fleet.state("b1"), fleet.state("b2")),
+        (1, ZoneState::Serving, ZoneState::Serving)
+    );
 }
 
 #[test]
@@ -263,7 +275,7 @@
         }
         fleet.ways.insert(("b", "b"), Way::Well);
         fleet.run(SECOND * 6);
-        assert_eq!(fleet.state("b"), State::Left, "seed {seed}");
+        assert_eq!(fleet.state("b"), ZoneState::Left, "seed {seed}");
         fleet.unheard.clear();
         fleet.ways.clear();
         let from = fleet.now;
@@ -272,7 +284,8 @@
         fleet.run(SECOND * 2);
         let after = fleet.after(from, "b", served);
         assert!(after.is_some_and(|after| after < SECOND), "seed {seed}: {after:?}: {:?}", fleet.moves);
-        let steps = fleet.moves.iter().filter(|(_, moved)| matches!(moved.to, State::Returning(_))).count();
+        let steps =
+            fleet.moves.iter().filter(|(_, moved)| matches!(moved.to, ZoneState::Returning(_))).count();
         assert_eq!(steps, 0, "seed {seed}: it is warm");
     }
 }
@@ -290,7 +303,12 @@
         (&["b/1"], &["b/1"], &[]),
     ];
     for (deep, lost, left_for_it) in cases {
-        let mut fleet = Fleet::new(&HALLS, 4, PlacesConfig { at_once: 1, ..PlacesConfig::default() }, 12);
+        let mut fleet = Fleet::new(
+            &HALLS,
+            4,
+            ZoneFailoverConfig { max_concurrent_failovers: 1, ..ZoneFailoverConfig::default() },
+            12,
+        );
         fleet.deep = deep.to_vec();
         fleet.run(SECOND * 10);
         fleet.all_into(lost, Way::Gone);
@@ -308,46 +326,48 @@
         fleet.all_into(lost, Way::Well);
         fleet.run(SECOND * 15);
         assert!(
-            lost.iter().all(|place| fleet.state(place) == State::Serving),
+            lost.iter().all(|place| fleet.state(place) == ZoneState::Serving),
             "{lost:?}: {:?}",
             fleet.moves
         );
         // A word of the hall is one of all its tiers.
-        let by_hand = Override { what: Hand::Leave, why: "new switch (anna)".to_owned() };
+        let by_hand = ActiveOverride { action: OverrideAction::Leave, why: "new switch (anna)".to_owned() };
         fleet.world.overrides = [("b".to_owned(), by_hand)].into();
         fleet.run(SECOND);
-        assert_eq!((fleet.state("b"), fleet.state("b/1")), (State::Left, State::Left));
+        assert_eq!((fleet.state("b"), fleet.state("b/1")), (ZoneState::Left, ZoneState::Left));
     }
 }
 
 #[test]
 fn hands_win_until_they_end_and_a_freeze_stops_what_goes_by_itself() {
     let mut fleet = three(9);
-    let hand = |what: Hand| ("b".to_owned(), Override { what, why: "new switch (anna)".to_owned() });
-    fleet.world.overrides = [hand(Hand::Leave)].into();
+    let hand = |what: OverrideAction| {
+        ("b".to_owned(), ActiveOverride { action: what, why: "new switch (anna)".to_owned() })
+    };
+    fleet.world.overrides = [hand(OverrideAction::Leave)].into();
     fleet.run(MS * 200);
-    let held = &fleet.machine.places().halls["b"];
-    assert!(held.state == State::Left && held.by_hand && held.why.contains("anna"), "{held:?}");
+    let held = &fleet.state_machine.zone_states().zones["b"];
+    assert!(held.state == ZoneState::Left && held.overridden && held.why.contains("anna"), "{held:?}");
     fleet.run(SECOND * 20);
-    assert_eq!(fleet.state("b"), State::Left, "nobody returns to it but by hand");
+    assert_eq!(fleet.state("b"), ZoneState::Left, "nobody returns to it but by hand");
     // The word ends: it goes by itself again, and comes back by steps.
     fleet.world.overrides.clear();
     fleet.run(SECOND * 12);
-    assert_eq!(fleet.state("b"), State::Serving, "{:?}", fleet.moves);
+    assert_eq!(fleet.state("b"), ZoneState::Serving, "{:?}", fleet.moves);
     // Held, it is not left whatever is seen; frozen, nothing is.
     for world in [
-        World { overrides: [hand(Hand::Hold)].into(), ..fleet.world.clone() },
-        World { frozen: true, ..fleet.world.clone() },
+        Environment { overrides: [hand(OverrideAction::Hold)].into(), ..fleet.world.clone() },
+        Environment { frozen: true, ..fleet.world.clone() },
     ] {
         let mut fleet = three(10);
-        fleet.world = World { sidecars: fleet.world.sidecars.clone(), ..world };
+        fleet.world = Environment { sidecars: fleet.world.sidecars.clone(), ..world };
         fleet.all_into(&["b"], Way::Gone);
         fleet.run(SECOND * 5);
-        assert_eq!(fleet.state("b"), State::Serving);
+        assert_eq!(fleet.state("b"), ZoneState::Serving);
         fleet.world.overrides.clear();
         fleet.world.frozen = false;
         fleet.run(SECOND * 3);
-        assert_eq!(fleet.state("b"), State::Left, "{:?}", fleet.moves);
+        assert_eq!(fleet.state("b"), ZoneState::Left, "{:?}", fleet.moves);
     }
 }
 
@@ -358,16 +378,16 @@
     for seed in 0..4 {
         let mut fleet = three(100 + seed);
         for round in 0..180_u64 {
-            let hall = HALLS[(round % 3) as usize];
+            let zone = HALLS[(round % 3) as usize];
             let way = match (round / 3) % 4 {
-                0 => Way::Part(0.2),
+                0 => Way::Share(0.2),
                 1 => Way::Full,
                 2 => Way::Slow(2.0),
-                _ => Way::Part(0.4),
+                _ => Way::Share(0.4),
             };
-            fleet.all_into(&[hall], way);
+            fleet.all_into(&[zone], way);
             fleet.run(SECOND * 2);
-            fleet.all_into(&[hall], Way::Well);
+            fleet.all_into(&[zone], Way::Well);
             fleet.run(SECOND * 3);
         }
         leaves += fleet.moves.len();
