--- a/crates/rig/src/history.rs
+++ b/crates/rig/src/history.rs
@@ -8,6 +8,9 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
+/// What a leader logs of a zone's transition that it proposes, as of this build and of builds before 0.2.
+const ZONE_TRANSITION: [&str; 2] = ["zone transition proposed", "fleet: a hall is to move"];
+
 /// Entries at the most, about 2 GB; beyond that the run's checks of its history fail.
 pub const ENTRIES_MOST: usize = 8_000_000;
 
@@ -332,9 +335,10 @@
             self.add(at, process, incarnation, What::Version { event, version, hash, key });
             return Some(());
         }
-        if message == "fleet: a hall is to move" {
+        if ZONE_TRANSITION.contains(&message) {
             let mut text = |name: &str| Some(self.name(line[name].as_str()?));
-            let (hall, from, to) = (text("hall")?, text("from")?, text("to")?);
+            // Builds before 0.2 name the zone in the field `hall`.
+            let (hall, from, to) = (text("zone").or_else(|| text("hall"))?, text("from")?, text("to")?);
             let why = line["why"].as_str()?.to_owned();
             self.add(at, process, incarnation, What::Moved { hall, from, to, why });
             return Some(());
