--- a/crates/control-plane-model/tests/invariants.rs
+++ b/crates/control-plane-model/tests/invariants.rs
@@ -58,7 +58,7 @@
     fleet.run(HEALS_WITHIN / 2);
     let versions: Vec<Version> = fleet.versions().into_iter().collect();
     assert_eq!(versions, [before.next()], "seed {seed}");
-    fleet.invariants.nothing_lost(before.next());
+    fleet.invariants.check_nothing_lost(before.next());
     assert_eq!(fleet.invariants.violations, [""; 0], "seed {seed}");
 }
 
@@ -189,20 +189,20 @@
     }
     fleet.run(SECOND);
     assert_eq!(fleet.versions().into_iter().collect::<Vec<_>>(), [Version(700)]);
-    assert!(fleet.entries(0) < 700, "{} entries are kept: the log does not end", fleet.entries(0));
+    assert!(fleet.log_entries(0) < 700, "{} entries are kept: the log does not end", fleet.log_entries(0));
     fleet.inject(3, Fault::Recover);
-    fleet.change(leader, 4, true).unwrap();
+    fleet.change_voters(leader, 4, true).unwrap();
     fleet.run(SECOND * 3);
     assert_eq!(fleet.version(3), Version(700));
     // The old one goes, and the new one counts for the majority.
     let gone = (0..3).find(|n| *n != leader).unwrap();
-    fleet.change(leader, gone as u64 + 1, false).unwrap();
+    fleet.change_voters(leader, gone as u64 + 1, false).unwrap();
     fleet.run(SECOND * 2);
     fleet.inject(gone, Fault::Crash);
     fleet.propose(leader);
     fleet.run(SECOND * 2);
     assert_eq!(fleet.version(3), Version(701));
-    let wrong = fleet.change(leader, gone as u64 + 1, false).unwrap_err();
+    let wrong = fleet.change_voters(leader, gone as u64 + 1, false).unwrap_err().to_string();
     assert!(wrong.contains("is not a keeper"), "{wrong}");
 }
 
@@ -289,7 +289,7 @@
             fleet.propose(0);
             fleet.run(MS * 300);
         }
-        (fleet.planned(), fleet.totals, fleet.invariants.decided.clone())
+        (fleet.scheduled_events(), fleet.totals, fleet.invariants.decided.clone())
     };
     assert_eq!(trace(5), trace(5));
     assert_ne!(trace(5).0, trace(6).0);
