--- a/crates/control-plane-model/src/network.rs
+++ b/crates/control-plane-model/src/network.rs
@@ -1,20 +1,20 @@
-//! What passes between two processes: how late it comes, and what of it is lost.
+//! The modelled network: delays, losses, duplicates, and cut paths.
 
 use rand::Rng;
 use rand_pcg::Pcg32;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How long it takes, one way.
+/// One-way delays.
 #[derive(Clone, Copy, Debug)]
 pub struct Delays {
-    /// Within a hall.
+    /// Within a zone.
     pub zone: Duration,
-    /// Between halls of one region.
+    /// Between zones of one region.
     pub region: Duration,
     /// Between regions.
     pub regions: Duration,
-    /// Each is stretched by up to this part of itself, evenly drawn.
+    /// Each delay grows by up to this fraction of itself, drawn uniformly.
     pub jitter: f64,
 }
 
@@ -25,63 +25,64 @@
     }
 }
 
-/// A place that is cut off, or one that is not reached.
+/// One end of a cut path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scope {
-    /// One process, by its number.
+    /// One process, by number.
     Node(usize),
-    /// All of a hall, by its number.
+    /// All processes of a zone, by number.
     Zone(usize),
 }
 
-/// A process, and where it is.
+/// A process, its zone and its region, by number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location {
-    /// Its number.
+    /// The process.
     pub node: usize,
-    /// Its hall.
+    /// Its zone.
     pub zone: usize,
-    /// That hall's region.
+    /// The zone's region.
     pub region: usize,
 }
 
 impl Location {
-    fn is(&self, agent: Scope) -> bool {
-        match agent {
+    fn is_in(&self, scope: Scope) -> bool {
+        match scope {
             Scope::Node(node) => node == self.node,
             Scope::Zone(zone) => zone == self.zone,
         }
     }
 }
 
-/// The network.
+/// The network between the processes of a fleet. [`Default`] is one without faults.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
-    /// Delays.
+    /// One-way delays by distance.
     pub delays: Delays,
-    /// This part of datagrams is lost, and of what is said on streams with a connection that breaks, 0 to 1.
+    /// The fraction of messages that is lost, 0 to 1: datagrams, and those of streams whose connection breaks.
     pub loss: f64,
-    /// This part comes twice, where it is not lost.
+    /// The fraction of delivered messages that arrives twice, 0 to 1.
     pub duplication: f64,
-    /// It takes up to this much longer, evenly drawn, so that one overtakes another.
+    /// Messages take up to this much longer, drawn uniformly, so that they overtake one another, on streams too.
     pub extra_delay: Duration,
-    /// Nothing passes from the one to the other.
+    /// Paths that are cut, in the direction from the first scope to the second.
     pub cuts: BTreeSet<(Scope, Scope)>,
-    /// Nothing passes the border of these halls: out of them, and into them.
+    /// Zones whose border is closed in one direction: outwards with `true`, inwards with `false`.
     pub isolated_zones: BTreeSet<(usize, bool)>,
 }
 
 impl Network {
-    /// Whether nothing passes.
+    /// Whether the path between two processes is cut in this direction.
     pub fn is_cut(&self, from: &Location, to: &Location) -> bool {
-        let crosses = |(zone, out): &(usize, bool)| {
-            let (inside, there) = (from.zone == *zone, to.zone == *zone);
-            inside != there && inside == *out
+        let crosses = |(zone, outwards): &(usize, bool)| {
+            let (starts_inside, ends_inside) = (from.zone == *zone, to.zone == *zone);
+            starts_inside != ends_inside && starts_inside == *outwards
         };
-        self.isolated_zones.iter().any(crosses) || self.cuts.iter().any(|(a, b)| from.is(*a) && to.is(*b))
+        self.isolated_zones.iter().any(crosses)
+            || self.cuts.iter().any(|(a, b)| from.is_in(*a) && to.is_in(*b))
     }
 
-    /// When each copy of something comes; none where it is lost.
+    /// The delay of each copy of a message; empty if it is lost.
     pub fn copies(&self, from: &Location, to: &Location, draws: &mut Pcg32) -> Vec<Duration> {
         if self.is_cut(from, to) || (self.loss > 0.0 && draws.random::<f64>() < self.loss) {
             return Vec::new();
@@ -97,11 +98,11 @@
             (_, true) => region,
             _ => regions,
         };
-        let late = if self.extra_delay.is_zero() {
+        let extra = if self.extra_delay.is_zero() {
             Duration::ZERO
         } else {
             self.extra_delay.mul_f64(draws.random())
         };
-        base.mul_f64(1.0 + jitter * draws.random::<f64>()) + late
+        base.mul_f64(1.0 + jitter * draws.random::<f64>()) + extra
     }
 }
--- a/crates/control-plane-model/src/spec.rs
+++ b/crates/control-plane-model/src/spec.rs
@@ -1,68 +1,70 @@
-//! What a fleet is made of: its zones, its processes, its network at the start and what messages cost.
+//! The specification of a simulated fleet: zones, processes, the network at the start, and the cost of messages.
 
 use crate::network::Network;
 use curlewhub_config::fleet::ZoneFailoverConfig;
 use std::time::Duration;
 
-/// What dealing with messages costs a process, on a core of its own.
+/// How long a process is busy with one message, on a core of its own.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cost {
-    /// For each message.
+    /// Fixed part, for each message.
     pub message: Duration,
-    /// For each KiB of it.
+    /// For each KiB of the message, in addition.
     pub kib: Duration,
 }
 
 impl Default for Cost {
-    /// What was measured of the program is in `docs/fleet.md`.
+    /// The figures that were measured of the program; `docs/fleet.md` has the measurement.
     fn default() -> Self {
         Cost { message: Duration::from_micros(12), kib: Duration::from_micros(4) }
     }
 }
 
-/// What sidecars tell.
+/// The evidence that sidecars report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
-    /// Nothing.
+    /// None.
     None,
-    /// Calls into all halls, as they are when all is well.
+    /// Successful calls into all zones, invented once a second.
     Well,
-    /// What the host has them see: [`crate::Fleet::began`] and [`crate::Fleet::ended`].
+    /// What the host records with [`crate::Fleet::call_started`], [`crate::Fleet::call_finished`] and
+    /// [`crate::Fleet::probe_finished`]; sidecars also run a zone policy.
     Seen,
 }
 
-/// A fleet.
+/// The specification of a fleet. Zones, regions and processes are numbered from 0.
 #[derive(Clone, Debug)]
 pub struct SimulationSpec {
-    /// The halls' regions, by number.
+    /// The region of each zone.
     pub zones: Vec<usize>,
-    /// The keepers' halls, by number.
+    /// The zone of each consensus server.
     pub consensus_servers: Vec<usize>,
-    /// So many of them, the last, are none of the first keepers: they join a fleet that there is, once they are started.
+    /// So many consensus servers, the last ones, are neither initial voters nor started: they join the running fleet later.
     pub joining: usize,
-    /// The sidecars' halls.
+    /// The zone of each sidecar.
     pub sidecars: Vec<usize>,
-    /// Sidecars are members too; without, they know nobody but keepers, which saves memory in the largest fleets.
+    /// Whether sidecars take part in the membership protocol. Without, they know consensus servers alone, which saves memory
+    /// in the largest fleets.
     pub membership: bool,
-    /// What sidecars tell.
+    /// The evidence that sidecars report.
     pub evidence: Evidence,
-    /// How halls are left, and returned to.
+    /// The settings of zone failover.
     pub zone_failover: ZoneFailoverConfig,
     /// The network at the start.
     pub network: Network,
-    /// What messages cost keepers and sidecars.
+    /// The cost of messages, for all processes alike.
     pub cost: Cost,
 }
 
 impl SimulationSpec {
-    /// Keepers in three halls of one region, and sidecars in the same.
-    pub fn small(keepers: usize, sidecars: usize) -> SimulationSpec {
-        let turn = |count: usize| (0..count).map(|n| n % 3).collect();
+    /// Consensus servers and sidecars, each spread over three zones of one region.
+    pub fn small(servers: usize, sidecars: usize) -> SimulationSpec {
+        let round_robin = |count: usize| (0..count).map(|n| n % 3).collect();
         SimulationSpec {
             zones: vec![0; 3],
-            consensus_servers: turn(keepers),
+            consensus_servers: round_robin(servers),
             joining: 0,
-            sidecars: turn(sidecars),
+            sidecars: round_robin(sidecars),
             membership: true,
             evidence: Evidence::None,
             zone_failover: ZoneFailoverConfig::default(),
@@ -71,13 +73,14 @@
         }
     }
 
-    /// Halls in regions, keepers in as many different ones as there are, and sidecars in all in turn.
-    pub fn wide(regions: usize, halls_each: usize, keepers: usize, sidecars: usize) -> SimulationSpec {
-        let zones: Vec<usize> = (0..regions * halls_each).map(|zone| zone % regions).collect();
-        let turn = |count: usize| (0..count).map(|n| n % zones.len()).collect();
+    /// Several regions with several zones each; consensus servers and sidecars are spread over all zones, so that consensus
+    /// servers are in as many regions as possible.
+    pub fn wide(regions: usize, zones_each: usize, servers: usize, sidecars: usize) -> SimulationSpec {
+        let zones: Vec<usize> = (0..regions * zones_each).map(|zone| zone % regions).collect();
+        let round_robin = |count: usize| (0..count).map(|n| n % zones.len()).collect();
         SimulationSpec {
-            consensus_servers: turn(keepers),
-            sidecars: turn(sidecars),
+            consensus_servers: round_robin(servers),
+            sidecars: round_robin(sidecars),
             zones,
             ..SimulationSpec::small(0, 0)
         }
--- a/crates/control-plane-model/src/traffic.rs
+++ b/crates/control-plane-model/src/traffic.rs
@@ -1,47 +1,47 @@
-//! What has passed between processes, in all and by process, and how long versions took to spread.
+//! Counts of messages and bytes, in total and by process, and how long versions took to spread.
 
 use curlewhub_control_plane::protocol::Message;
 use hdrhistogram::Histogram;
 use std::ops::Sub;
 use std::time::Duration;
 
-/// What has passed.
+/// Counts of messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TrafficTotals {
     /// Messages.
     pub messages: u64,
-    /// Bytes, frames among them.
+    /// Bytes on the wire, with the overhead of frames.
     pub bytes: u64,
-    /// Messages that found no room at their process.
+    /// Messages dropped because their receiver's inbox was full.
     pub dropped: u64,
 }
 
-/// How long versions took to be held.
+/// How long sidecars took to hold a version after its decision, from 1 us to an hour.
 #[derive(Clone, Debug)]
 pub struct LatencyHistogram {
-    after: Histogram<u64>,
+    micros: Histogram<u64>,
 }
 
 impl Default for LatencyHistogram {
     fn default() -> Self {
-        let after = Histogram::new_with_bounds(1, 3_600_000_000, 3);
-        LatencyHistogram { after: after.unwrap_or_else(|_| unreachable!("the bounds are sound")) }
+        let micros = Histogram::new_with_bounds(1, 3_600_000_000, 3);
+        LatencyHistogram { micros: micros.unwrap_or_else(|_| unreachable!("the bounds are sound")) }
     }
 }
 
 impl LatencyHistogram {
-    /// A part of all, 0 to 1: within how long they were held.
-    pub fn at(&self, q: f64) -> Duration {
-        Duration::from_micros(self.after.value_at_quantile(q))
+    /// The latency at a quantile, 0 to 1.
+    pub fn at(&self, quantile: f64) -> Duration {
+        Duration::from_micros(self.micros.value_at_quantile(quantile))
     }
 
     pub(crate) fn record(&mut self, micros: u64) {
-        self.after.saturating_record(micros.max(1));
+        self.micros.saturating_record(micros.max(1));
     }
 
-    /// How many.
+    /// The number of recorded latencies.
     pub fn count(&self) -> u64 {
-        self.after.len()
+        self.micros.len()
     }
 }
 
@@ -64,16 +64,16 @@
     }
 }
 
-/// What a message is for.
+/// The purpose of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// Membership: probes, suspicions and gossip.
     Membership,
-    /// Following the view: how far one is, what is in force of its configuration, questions and their answers.
+    /// Following the view: versions, records, snapshots, and reports of the configuration in force.
     View,
-    /// Evidence, and what consensus servers say of it.
+    /// Digests of evidence, and the probes and grants that follow from it.
     Evidence,
-    /// The consensus servers' agreement, and proposals to it.
+    /// Raft among consensus servers, proposals, and operators' commands.
     Agreement,
 }
 
@@ -114,24 +114,24 @@
 }
 
 impl Traffic {
-    /// What it has sent for this purpose.
+    /// Sent messages of a purpose.
     pub fn sent(&self, purpose: Purpose) -> TrafficTotals {
         self.sent[purpose as usize]
     }
 
-    /// What has reached it for this purpose, dealt with or dropped.
+    /// Messages of a purpose that have arrived, whether processed or dropped.
     pub fn received(&self, purpose: Purpose) -> TrafficTotals {
         self.received[purpose as usize]
     }
 
-    /// Bytes in both directions, for all purposes.
+    /// Bytes in both directions, of all purposes.
     pub fn bytes(&self) -> u64 {
-        self.sent.iter().chain(&self.received).map(|passed| passed.bytes).sum()
+        self.sent.iter().chain(&self.received).map(|totals| totals.bytes).sum()
     }
 
-    /// Messages in both directions, for all purposes.
+    /// Messages in both directions, of all purposes.
     pub fn messages(&self) -> u64 {
-        self.sent.iter().chain(&self.received).map(|passed| passed.messages).sum()
+        self.sent.iter().chain(&self.received).map(|totals| totals.messages).sum()
     }
 
     pub(crate) fn count_sent(&mut self, message: &Message, bytes: u64) {
@@ -147,8 +147,9 @@
     type Output = Traffic;
 
     fn sub(self, before: Traffic) -> Traffic {
-        let difference = |now: [TrafficTotals; 4], then: [TrafficTotals; 4]| {
-            std::array::from_fn(|purpose| now[purpose] - then[purpose])
+        let difference = |after: [TrafficTotals; Purpose::ALL.len()],
+                          before: [TrafficTotals; Purpose::ALL.len()]| {
+            std::array::from_fn(|purpose| after[purpose] - before[purpose])
         };
         Traffic {
             sent: difference(self.sent, before.sent),
