--- a/crates/control-plane-model/tests/invariants.rs
+++ b/crates/control-plane-model/tests/invariants.rs
@@ -1,5 +1,5 @@
-//! Small fleets in which everything goes wrong: keepers that crash, forget or pause, sidecars that start again, a network that
-//! loses, repeats, reorders and parts. What must hold is looked at in every step.
+//! Small fleets under faults: consensus servers crash and pause, sidecars restart with and without their disk, and the network
+//! loses, duplicates, reorders and partitions. The invariants are checked in every step.
 
 use curlewhub_control_plane::membership::MemberStatus;
 use curlewhub_control_plane::record::{Proposal, RecordKind, Version};
@@ -10,17 +10,19 @@
 
 const MS: Duration = Duration::from_millis(1);
 const SECOND: Duration = Duration::from_secs(1);
-/// A version is to be at all within this of nothing going wrong any more.
-const HEALS_WITHIN: Duration = Duration::from_secs(8);
+/// Once all faults have ended, processes hold one version within this time.
+const CONVERGES_WITHIN: Duration = Duration::from_secs(8);
 
-/// Something goes wrong, or is put right. Keepers don't forget: one that has may only come back under another number.
-fn disturb(fleet: &mut Fleet, draws: &mut Pcg32) {
-    let (keepers, all) = (fleet.consensus_servers(), fleet.count());
-    let (keeper, sidecar, any) =
-        (draws.random_range(0..keepers), draws.random_range(keepers..all), draws.random_range(0..all));
+/// Injects or ends one random fault. Consensus servers keep their disks: one that has lost its disk may only return under
+/// another id.
+fn inject_random_fault(fleet: &mut Fleet, draws: &mut Pcg32) {
+    let (servers, all) = (fleet.consensus_servers(), fleet.count());
+    let server = draws.random_range(0..servers);
+    let sidecar = draws.random_range(servers..all);
+    let any = draws.random_range(0..all);
     match draws.random_range(0..10) {
-        0 => fleet.inject(keeper, Fault::Crash),
-        1 => fleet.inject(keeper, Fault::Recover),
+        0 => fleet.inject(server, Fault::Crash),
+        1 => fleet.inject(server, Fault::Recover),
         2 => fleet.inject(any, Fault::Pause),
         3 => {
             fleet.inject(sidecar, if draws.random() { Fault::LoseDisk } else { Fault::Crash });
@@ -28,11 +30,11 @@
         }
         4 => fleet.inject(any, Fault::Recover),
         5 | 6 => {
-            let agent = |draws: &mut Pcg32| match draws.random::<bool>() {
+            let scope = |draws: &mut Pcg32| match draws.random::<bool>() {
                 true => Scope::Node(draws.random_range(0..all)),
                 false => Scope::Zone(draws.random_range(0..3)),
             };
-            let (a, b) = (agent(draws), agent(draws));
+            let (a, b) = (scope(draws), scope(draws));
             fleet.cut(a, b);
             if draws.random() {
                 fleet.cut(b, a);
@@ -47,15 +49,16 @@
     }
 }
 
-/// From now on nothing goes wrong: all come to one version, on which a new one follows, and nothing is lost.
-fn ends_well(fleet: &mut Fleet) {
+/// Ends all faults, and asserts that all processes converge on one version that another follows, and that no decided
+/// proposal is lost.
+fn assert_recovers(fleet: &mut Fleet) {
     let seed = fleet.seed();
     fleet.recover_all();
-    fleet.run(HEALS_WITHIN / 2);
+    fleet.run(CONVERGES_WITHIN / 2);
     let before = *fleet.versions().last().unwrap();
-    assert!(fleet.leader().is_some(), "seed {seed}: nobody leads");
+    assert!(fleet.leader().is_some(), "seed {seed}: there is no leader");
     fleet.propose_anywhere();
-    fleet.run(HEALS_WITHIN / 2);
+    fleet.run(CONVERGES_WITHIN / 2);
     let versions: Vec<Version> = fleet.versions().into_iter().collect();
     assert_eq!(versions, [before.next()], "seed {seed}");
     fleet.invariants.check_nothing_lost(before.next());
@@ -63,26 +66,26 @@
 }
 
 #[test]
-fn whatever_goes_wrong_there_is_one_content_a_version_nobody_goes_back_and_all_end_alike() {
+fn under_random_faults_versions_are_unique_and_monotonic_and_all_processes_converge() {
     let mut decided = 0;
     for seed in 0..60 {
         let mut fleet = Fleet::new(SimulationSpec::small(3 + 2 * (seed as usize % 2), 4), seed);
         let mut draws = Pcg32::seed_from_u64(seed);
         fleet.run(SECOND * 2);
         for _ in 0..40 {
-            disturb(&mut fleet, &mut draws);
+            inject_random_fault(&mut fleet, &mut draws);
             let to = draws.random_range(0..fleet.consensus_servers());
             fleet.propose(to);
             fleet.run(MS * 400);
         }
-        ends_well(&mut fleet);
+        assert_recovers(&mut fleet);
         decided += fleet.invariants.decided.len();
     }
-    assert!(decided > 400, "{decided}: too little was decided to say anything");
+    assert!(decided > 400, "{decided}: too little was decided for the test to be meaningful");
 }
 
-/// A fleet with a leader, and who that is.
-fn led(spec: SimulationSpec, seed: u64) -> (Fleet, usize) {
+/// A fleet that has a leader, and the leader's number.
+fn fleet_with_leader(spec: SimulationSpec, seed: u64) -> (Fleet, usize) {
     let mut fleet = Fleet::new(spec, seed);
     assert!(fleet.run_until(SECOND * 5, |fleet| fleet.leader().is_some()));
     fleet.run(SECOND);
@@ -91,37 +94,36 @@
 }
 
 #[test]
-fn a_leader_that_hears_nothing_steps_down_and_one_that_wakes_leads_no_more() {
+fn a_leader_that_receives_nothing_steps_down_and_a_paused_one_does_not_lead_after_it_resumes() {
     for paused in [false, true] {
-        let (mut fleet, leader) = led(SimulationSpec::small(3, 2), 7);
+        let (mut fleet, leader) = fleet_with_leader(SimulationSpec::small(3, 2), 7);
         if paused {
             fleet.inject(leader, Fault::Pause);
         } else {
-            // It sends, and hears nothing.
+            // It can send, but receives nothing from the other servers.
             (0..3).filter(|n| *n != leader).for_each(|n| fleet.cut(Scope::Node(n), Scope::Node(leader)));
         }
         let other = |fleet: &Fleet| fleet.leader().is_some_and(|next| next != leader);
-        assert!(fleet.run_until(SECOND * 4, other), "paused {paused}: the others chose nobody");
+        assert!(fleet.run_until(SECOND * 4, other), "paused {paused}: the others elected no leader");
         let next = fleet.leader().unwrap();
         fleet.propose(next);
         fleet.run(SECOND);
         assert_eq!(fleet.invariants.decided.len(), 1, "paused {paused}");
         if paused {
-            // It wakes with all that it had planned as a leader.
+            // It resumes with the timers and the queue that it had as a leader.
             fleet.inject(leader, Fault::Recover);
             fleet.propose(leader);
             fleet.run(SECOND);
         }
-        ends_well(&mut fleet);
+        assert_recovers(&mut fleet);
     }
 }
 
 #[test]
-fn in_a_cycle_where_each_sees_one_other_nothing_wrong_is_decided_and_it_ends_well() {
-    // By seed, and how many of the three ways round are cut, each one way.
+fn safety_holds_where_each_server_receives_from_only_one_other() {
     for seed in 0..12 {
-        let (mut fleet, _) = led(SimulationSpec::small(3, 3), seed);
-        // a hears b, b hears c, c hears a, and nothing else passes between keepers.
+        let (mut fleet, _) = fleet_with_leader(SimulationSpec::small(3, 3), seed);
+        // Each pair of servers is cut in one direction: 1 receives from 2 alone, 2 from 0, and 0 from 1.
         for (a, b) in [(0, 1), (1, 2), (2, 0)] {
             fleet.cut(Scope::Node(a), Scope::Node(b));
         }
@@ -129,16 +131,16 @@
             fleet.propose(n % 3);
             fleet.run(MS * 250);
         }
-        ends_well(&mut fleet);
+        assert_recovers(&mut fleet);
     }
 }
 
 #[test]
-fn two_of_three_that_see_one_another_decide_whoever_led() {
+fn two_connected_servers_of_three_make_progress_whoever_led() {
     for seed in 0..6 {
-        let (mut fleet, leader) = led(SimulationSpec::small(3, 3), seed);
+        let (mut fleet, leader) = fleet_with_leader(SimulationSpec::small(3, 3), seed);
         let (next, last) = ((leader + 1) % 3, (leader + 2) % 3);
-        // The leader is seen by one other, which is seen by both: a chain. The one in its middle reaches a majority.
+        // The servers form a chain, with the leader at one end. The one in the middle reaches a quorum.
         fleet.cut(Scope::Node(leader), Scope::Node(last));
         fleet.cut(Scope::Node(last), Scope::Node(leader));
         fleet.run(SECOND * 4);
@@ -147,14 +149,14 @@
             fleet.propose(next);
             fleet.run(MS * 500);
         }
-        assert!(fleet.invariants.decided.len() > before, "seed {seed}: a majority sees one another");
-        ends_well(&mut fleet);
+        assert!(fleet.invariants.decided.len() > before, "seed {seed}: a quorum is connected");
+        assert_recovers(&mut fleet);
     }
 }
 
 #[test]
-fn without_a_majority_nothing_is_decided_and_sidecars_keep_what_they_have() {
-    let (mut fleet, _) = led(SimulationSpec::small(5, 4), 3);
+fn without_a_quorum_nothing_is_decided_and_sidecars_keep_their_version() {
+    let (mut fleet, _) = fleet_with_leader(SimulationSpec::small(5, 4), 3);
     for _ in 0..3 {
         fleet.propose_anywhere();
     }
@@ -165,50 +167,54 @@
     fleet.propose(4);
     fleet.run(SECOND * 600);
     assert_eq!(fleet.versions().into_iter().collect::<Vec<_>>(), held, "ten minutes change nothing");
-    // One that has lost its disk meanwhile is brought up by the others, with no keeper's help.
+    // A sidecar that loses its disk meanwhile catches up from other sidecars, without any consensus server.
     (3..5).for_each(|n| fleet.inject(n, Fault::Crash));
     fleet.inject(5, Fault::LoseDisk);
     fleet.run(SECOND);
     fleet.inject(5, Fault::Recover);
     fleet.run(SECOND * 30);
-    // Only who is told of somebody can find anybody: its seeds are keepers, and the others found it.
+    // Its seeds are consensus servers, none of which runs: the other sidecars have found it.
     assert_eq!(fleet.version(5), Version(3));
     let now = fleet.now() + SECOND * 100;
-    assert_eq!(fleet.client(5).unwrap().age(now), None, "by no keeper's word");
-    ends_well(&mut fleet);
+    assert_eq!(fleet.client(5).unwrap().age(now), None, "no consensus server has confirmed its view");
+    assert_recovers(&mut fleet);
 }
 
 #[test]
-fn keepers_are_replaced_one_at_a_time_and_a_new_one_gets_all() {
+fn voters_are_replaced_one_at_a_time_and_a_new_one_catches_up() {
     let spec = SimulationSpec { joining: 1, ..SimulationSpec::small(4, 2) };
-    let (mut fleet, leader) = led(spec, 11);
-    // More than a snapshot's worth, so that the new one can't be given the entries alone.
+    let (mut fleet, leader) = fleet_with_leader(spec, 11);
+    // Enough for the log to be compacted, so that the new server needs a snapshot.
     for _ in 0..700 {
         fleet.propose(leader);
         fleet.run(MS * 20);
     }
     fleet.run(SECOND);
     assert_eq!(fleet.versions().into_iter().collect::<Vec<_>>(), [Version(700)]);
-    assert!(fleet.log_entries(0) < 700, "{} entries are kept: the log does not end", fleet.log_entries(0));
+    assert!(
+        fleet.log_entries(0) < 700,
+        "{} entries are kept: the log was not compacted",
+        fleet.log_entries(0)
+    );
     fleet.inject(3, Fault::Recover);
     fleet.change_voters(leader, 4, true).unwrap();
     fleet.run(SECOND * 3);
     assert_eq!(fleet.version(3), Version(700));
-    // The old one goes, and the new one counts for the majority.
-    let gone = (0..3).find(|n| *n != leader).unwrap();
-    fleet.change_voters(leader, gone as u64 + 1, false).unwrap();
+    // An old server is removed, and the new one counts towards the quorum.
+    let removed = (0..3).find(|n| *n != leader).unwrap();
+    fleet.change_voters(leader, removed as u64 + 1, false).unwrap();
     fleet.run(SECOND * 2);
-    fleet.inject(gone, Fault::Crash);
+    fleet.inject(removed, Fault::Crash);
     fleet.propose(leader);
     fleet.run(SECOND * 2);
     assert_eq!(fleet.version(3), Version(701));
-    let wrong = fleet.change_voters(leader, gone as u64 + 1, false).unwrap_err().to_string();
-    assert!(wrong.contains("is not a keeper"), "{wrong}");
+    let error = fleet.change_voters(leader, removed as u64 + 1, false).unwrap_err().to_string();
+    assert!(error.contains("is not a keeper"), "{error}");
 }
 
 #[test]
-fn a_version_of_a_mebibyte_and_a_view_full_of_them_reach_everybody() {
-    let (mut fleet, leader) = led(SimulationSpec::small(3, 4), 5);
+fn records_of_a_mebibyte_and_a_full_view_reach_all_processes() {
+    let (mut fleet, leader) = fleet_with_leader(SimulationSpec::small(3, 4), 5);
     let large = |id: u64| Proposal {
         id,
         key: format!("plan/{id}"),
@@ -218,23 +224,23 @@
         why: String::new(),
         expected_version: None,
     };
-    // The last finds no room, and that is said.
+    // The last one exceeds the view's capacity and is rejected.
     for id in 1000..1017 {
         fleet.propose_this(leader, large(id));
         fleet.run(SECOND);
     }
     fleet.run(SECOND * 4);
     assert_eq!(fleet.versions().into_iter().collect::<Vec<_>>(), [Version(16)]);
-    // One that has nothing gets all of it in one message, larger than what a keeper tells in a second.
+    // A sidecar with an empty disk gets all of it in one snapshot, larger than what a consensus server sends in a second.
     fleet.inject(6, Fault::LoseDisk);
     fleet.inject(6, Fault::Recover);
     fleet.run(SECOND * 8);
     assert_eq!(fleet.version(6), Version(16));
-    ends_well(&mut fleet);
+    assert_recovers(&mut fleet);
 }
 
 #[test]
-fn who_is_there_is_known_and_who_is_gone_and_who_came_back() {
+fn membership_follows_losses_crashes_restarts_pauses_and_partitions() {
     for seed in 0..8 {
         let mut fleet = Fleet::new(SimulationSpec::small(3, 9), seed);
         let mut draws = Pcg32::seed_from_u64(seed);
@@ -248,29 +254,29 @@
         };
         let all = |wanted: usize| move |fleet: &Fleet| counts(fleet).iter().all(|count| *count == wanted);
         assert!(fleet.run_until(SECOND * 40, all(11)), "seed {seed}: {:?}", counts(&fleet));
-        // A third of datagrams lost has nobody taken for gone: others are asked, and what is suspected answers.
+        // Losing a tenth of the messages has no lasting effect: indirect probes and refutations keep members alive.
         fleet.network.loss = 0.1;
         fleet.run(SECOND * 20);
         fleet.network.loss = 0.0;
         assert!(fleet.run_until(SECOND * 20, all(11)), "seed {seed}: after losses {:?}", counts(&fleet));
-        let gone = draws.random_range(3..12);
-        fleet.inject(gone, Fault::Crash);
+        let crashed = draws.random_range(3..12);
+        fleet.inject(crashed, Fault::Crash);
         assert!(fleet.run_until(SECOND * 15, all(10)), "seed {seed}: {:?}", counts(&fleet));
-        let standing = fleet
+        let status = fleet
             .consensus(0)
             .unwrap()
             .membership()
             .all()
-            .find(|(m, _)| m.address.ip().is_ipv4() && m.name == format!("sidecar-{}", gone - 3));
-        assert_eq!(standing.map(|(_, standing)| standing), Some(MemberStatus::Down), "seed {seed}");
-        // It starts again; another is paused for long, is taken for gone, and is back under its own name.
-        fleet.inject(gone, Fault::Recover);
-        let paused = if gone == 11 { 3 } else { gone + 1 };
+            .find(|(m, _)| m.address.ip().is_ipv4() && m.name == format!("sidecar-{}", crashed - 3));
+        assert_eq!(status.map(|(_, status)| status), Some(MemberStatus::Down), "seed {seed}");
+        // It restarts. Another is paused until it counts as down, and returns under its own name.
+        fleet.inject(crashed, Fault::Recover);
+        let paused = if crashed == 11 { 3 } else { crashed + 1 };
         fleet.inject(paused, Fault::Pause);
         fleet.run(SECOND * 15);
         fleet.inject(paused, Fault::Recover);
         assert!(fleet.run_until(SECOND * 30, all(11)), "seed {seed}: {:?}", counts(&fleet));
-        // A hall that was cut off for a minute is known again.
+        // The members of a zone that was cut off for a minute are alive again.
         fleet.network.isolated_zones = [(1, true), (1, false)].into();
         fleet.run(SECOND * 60);
         fleet.network.isolated_zones.clear();
@@ -280,12 +286,12 @@
 }
 
 #[test]
-fn one_seed_replays_all() {
+fn equal_seeds_give_equal_runs() {
     let trace = |seed| {
         let mut fleet = Fleet::new(SimulationSpec::small(3, 3), seed);
         let mut draws = Pcg32::seed_from_u64(seed);
         for _ in 0..20 {
-            disturb(&mut fleet, &mut draws);
+            inject_random_fault(&mut fleet, &mut draws);
             fleet.propose(0);
             fleet.run(MS * 300);
         }
