--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -1,8 +1,8 @@
-//! The fleet's own state machines under a model checker (stateright): every interleaving of small fleets, with a network
-//! that loses, repeats and reorders messages, and crashes with and without loss of the disk.
+//! Model checking of the control plane's state machines with stateright: every interleaving of a small fleet, over a network
+//! that loses, duplicates and reorders messages, and with crashes that keep or lose the disk.
 //!
-//! A state holds what a process knows, and not when it acts next: a timer may fire at any moment, which is what the checker
-//! is for. Each step rebuilds the process from its state and runs the program's own code.
+//! A state holds what a process knows, but no timers: any timer may fire in any state. Each step rebuilds the processes from
+//! the state and runs the program's own code.
 
 #![warn(clippy::too_many_lines)]
 
