--- a/crates/connection-quota/src/lib.rs
+++ b/crates/connection-quota/src/lib.rs
@@ -6,7 +6,7 @@
 //! is full, and not that the endpoint is down. The sidecar then works with what it holds. It tries one more connection
 //! after an exponential backoff with full jitter, so that sidecars refused together do not come back together.
 //!
-//! [`ConnectionQuota`] performs no I/O: it is told of events and the time, and answers whether to open a connection.
+//! [`ConnectionQuota`] performs no I/O: it is given events and the time, and decides whether to open a connection.
 
 #![warn(clippy::too_many_lines)]
 
@@ -18,9 +18,11 @@
 /// Connects of all sidecars that may be pending at one endpoint at once, where each keeps to its fraction: a handshake
 /// costs the endpoint up to some 8 ms of work, and this many keep one core busy for half a second.
 pub const MAX_CONNECTING: u32 = 64;
-/// The longest wait after the first refusal by a full endpoint; it doubles with each refusal in a row ...
+/// The maximum wait after the first refusal by a full endpoint; it doubles with each consecutive refusal, up to
+/// [`MAX_BACKOFF`].
 pub const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
-/// ... up to this. An endpoint that stays full then costs each sidecar one connect in five seconds, on average.
+/// The maximum wait after any refusal. With full jitter, an endpoint that stays full costs each sidecar one connect in five
+/// seconds on average.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
 /// The settings of a quota, fixed while a sidecar runs.
@@ -81,7 +83,7 @@
     pending: u32,
     /// How many were established when the endpoint last refused one as full, or more if it has accepted more since.
     learned_limit: Option<u32>,
-    /// Refusals by a full endpoint in a row.
+    /// Consecutive refusals by a full endpoint.
     refusals: u32,
     /// No connect beyond the learned limit before this time.
     retry_at: Duration,
@@ -119,18 +121,18 @@
         ConnectionQuota { settings, rng, endpoints, refused_full: 0 }
     }
 
-    /// The settings.
+    /// The settings that it was made with.
     pub fn terms(&self) -> QuotaSettings {
         self.settings
     }
 
-    /// Asks to open a connection.
+    /// Asks to open a connection, and counts it as pending if the answer is [`Admission::Open`].
     pub fn ask(&mut self, now: Duration, endpoint: u64) -> Admission {
         let settings = self.settings;
         let connections = self.endpoints.entry(endpoint).or_default();
         let limit = settings.max_established().min(connections.learned_limit_at(now).max(1));
         if connections.total() >= limit {
-            // A pending connect may still free its place.
+            // A pending connect may still fail and make way for this one.
             return if connections.pending > 0 { Admission::Wait } else { Admission::Full };
         }
         if connections.pending >= settings.max_pending() {
@@ -151,7 +153,7 @@
         }
     }
 
-    /// A connect was refused; returns what that says.
+    /// A connect was refused; returns what that says about the endpoint.
     pub fn refused(&mut self, now: Duration, endpoint: u64) -> Refusal {
         let Some(connections) = self.endpoints.get_mut(&endpoint) else { return Refusal::Unknown };
         connections.pending = connections.pending.saturating_sub(1);
