--- a/crates/overlap-quota/src/lib.rs
+++ b/crates/overlap-quota/src/lib.rs
@@ -4,7 +4,7 @@
 //! [`TOTAL_PARTS`] parts. A process that is alone holds all of them. A successor begins with none. From then on each
 //! process reports its demand to the other at intervals, and a process that holds more than its proportion gives parts
 //! away. A part is deducted from the giver before it is sent, so two processes never hold more than all parts together,
-//! whatever is late or lost. When one process has gone, the other takes over what it held.
+//! whatever is late or lost. When one process has ended, the other takes over what it held.
 //!
 //! In a row of three (a successor has a successor) the process in the middle passes parts on. If it is killed, the two
 //! others do not know of each other: a process that is ending then takes nothing back, see [`OverlapQuota::gone`].
@@ -17,9 +17,9 @@
 
 /// All that one sidecar may use. Fine enough that a sixteenth of the calls is not rounded away.
 pub const TOTAL_PARTS: u32 = 64;
-/// What a process keeps while it lives, whatever its demand: a sixteenth, or a first call would find nothing.
+/// What a process keeps while it runs, whatever its demand: a sixteenth, so that a first call is not turned down.
 pub const MIN_PARTS: u32 = 4;
-/// A smaller transfer is not worth a message: demand changes with every call.
+/// The minimum transfer, as demand changes with every call and a message for each change would be too many.
 pub const MIN_TRANSFER: u32 = 4;
 
 /// How often a process samples its demand while it has a neighbour: well within the 250 ms in which parts have to
@@ -100,7 +100,7 @@
         self.own
     }
 
-    /// The same as a fraction, 0 to 1.
+    /// The fraction of all parts that this process holds, 0 to 1.
     pub fn share(&self) -> f64 {
         f64::from(self.own) / f64::from(TOTAL_PARTS)
     }
@@ -126,7 +126,7 @@
         self.neighbours.insert(link, Neighbour { parts, demand: None });
     }
 
-    /// A neighbour reports its demand: requests open and lately arrived, in any unit that both use.
+    /// A neighbour reports its demand: open requests and recent arrivals, in any unit that both use.
     ///
     /// # Errors
     /// It is no neighbour.
@@ -147,15 +147,15 @@
         Ok(())
     }
 
-    /// Gives parts to a neighbour, with this demand of this process, and returns how many. None if that is not worth a
-    /// message, or if the neighbour has never reported a demand: it may be of a version that does not know of parts.
+    /// Gives parts to a neighbour, by this process's demand and the neighbour's, and returns how many. None if there is less
+    /// to give than [`MIN_TRANSFER`], or if the neighbour has never reported a demand: its version may not know of parts.
     pub fn gives(&mut self, link: u64, own_demand: u32) -> Option<u32> {
         let neighbour = self.neighbours.get_mut(&link)?;
         let other_demand = f64::from(neighbour.demand?);
         let total = self.own + neighbour.parts;
         let min_parts = MIN_PARTS.min(total / 2);
         let proportion = match f64::from(own_demand) + other_demand {
-            0.0 => f64::from(self.own) / f64::from(total.max(1)), // no demand at all: everything stays as it is
+            0.0 => f64::from(self.own) / f64::from(total.max(1)), // no demand at all: no part moves
             sum => f64::from(own_demand) / sum,
         };
         let fair = (f64::from(total) * proportion).round() as u32;
@@ -170,7 +170,7 @@
         Some(surplus)
     }
 
-    /// Removes a neighbour that has gone and takes its parts over. Returns how many came back.
+    /// Removes a neighbour that has ended and takes its parts over. Returns how many came back.
     ///
     /// None come back if this process is `ending` and holds some itself: it sends next to nothing any more, while the
     /// neighbour may have passed parts on to a process that now takes over those of this process.
--- a/crates/overlap-quota/tests/quota.rs
+++ b/crates/overlap-quota/tests/quota.rs
@@ -1,17 +1,17 @@
-//! Two processes and what they hold, whatever is said when, and whatever gets lost.
+//! The parts that two processes hold, for any order of messages and any loss.
 
 use curlewhub_overlap_quota::{Demand, MIN_PARTS, OverlapQuota, QuotaError, TOTAL_PARTS};
 use proptest::prelude::*;
 use std::collections::VecDeque;
 
-/// What goes from one to the other.
+/// A message between the two processes.
 #[derive(Clone, Copy, Debug)]
 enum Message {
-    Need(u32),
+    Demand(u32),
     Give(u32),
 }
 
-/// Two processes and the messages in flight, from each.
+/// The predecessor (0) and the successor (1), and the messages in flight from each.
 struct Pair {
     quotas: [OverlapQuota; 2],
     in_flight: [VecDeque<Message>; 2],
@@ -25,19 +25,19 @@
         Pair { quotas, in_flight: Default::default() }
     }
 
-    /// Lets one look at what it needs, as it does from time to time.
-    fn tick(&mut self, who: usize, need: u32) {
-        self.in_flight[who].push_back(Message::Need(need));
-        if let Some(parts) = self.quotas[who].gives(1 - who as u64, need) {
-            self.in_flight[who].push_back(Message::Give(parts));
+    /// Has a process report its demand and give parts away, as it does at intervals.
+    fn tick(&mut self, from: usize, demand: u32) {
+        self.in_flight[from].push_back(Message::Demand(demand));
+        if let Some(parts) = self.quotas[from].gives(1 - from as u64, demand) {
+            self.in_flight[from].push_back(Message::Give(parts));
         }
     }
 
-    /// Lets the oldest message of one arrive.
-    fn arrive(&mut self, from: usize) {
+    /// Delivers the oldest message of a process.
+    fn deliver(&mut self, from: usize) {
         let (to, link) = (1 - from, from as u64);
         match self.in_flight[from].pop_front() {
-            Some(Message::Need(need)) => self.quotas[to].needs(link, need).unwrap(),
+            Some(Message::Demand(demand)) => self.quotas[to].needs(link, demand).unwrap(),
             Some(Message::Give(parts)) => self.quotas[to].gets(link, parts).unwrap(),
             None => {}
         }
@@ -52,26 +52,26 @@
         [self.quotas[0].own(), self.quotas[1].own()]
     }
 
-    /// Both tick and all arrives, so many times.
-    fn settle(&mut self, needs: [u32; 2], rounds: usize) {
+    /// Has both processes tick and delivers all messages, for so many rounds.
+    fn run(&mut self, demands: [u32; 2], rounds: usize) {
         for _ in 0..rounds {
-            (0..2).for_each(|who| self.tick(who, needs[who]));
+            (0..2).for_each(|n| self.tick(n, demands[n]));
             while !self.in_flight.iter().all(VecDeque::is_empty) {
-                (0..2).for_each(|who| self.arrive(who));
+                (0..2).for_each(|n| self.deliver(n));
             }
         }
     }
 }
 
 #[test]
-fn parts_follow_the_need_from_the_old_one_to_the_new_one() {
+fn parts_follow_the_demand_from_the_predecessor_to_the_successor() {
     let mut pair = Pair::new();
     assert_eq!(pair.own(), [TOTAL_PARTS, 0]);
-    pair.settle([100, 0], 2);
-    assert_eq!(pair.own(), [TOTAL_PARTS - MIN_PARTS, MIN_PARTS], "it can send its first calls");
-    pair.settle([50, 50], 2);
+    pair.run([100, 0], 2);
+    assert_eq!(pair.own(), [TOTAL_PARTS - MIN_PARTS, MIN_PARTS], "enough for the successor's first calls");
+    pair.run([50, 50], 2);
     assert_eq!(pair.own(), [TOTAL_PARTS / 2, TOTAL_PARTS / 2]);
-    pair.settle([0, 100], 2);
+    pair.run([0, 100], 2);
     assert_eq!(pair.own(), [MIN_PARTS, TOTAL_PARTS - MIN_PARTS]);
     assert_eq!(pair.quotas[1].gone(0, false), MIN_PARTS);
     assert_eq!(pair.quotas[1].own(), TOTAL_PARTS);
@@ -79,10 +79,10 @@
 }
 
 #[test]
-fn a_need_is_what_is_open_and_what_came_within_half_a_second() {
+fn demand_is_open_requests_and_arrivals_within_half_a_second() {
     let mut demand = Demand::default();
     demand.came();
-    assert_eq!(demand.look(3), 3, "nothing is counted before the first look");
+    assert_eq!(demand.look(3), 3, "nothing is counted before the first sample");
     (0..5).for_each(|_| demand.came());
     assert_eq!(demand.look(2), 7);
     let later: Vec<u32> = (0..30).map(|_| demand.look(0)).collect();
@@ -90,28 +90,28 @@
 }
 
 #[test]
-fn one_that_never_says_what_it_needs_is_given_nothing() {
-    let mut old = OverlapQuota::default();
-    old.successor(1);
-    assert_eq!(old.gives(1, 0), None);
-    assert_eq!(old.share(), 1.0);
+fn a_neighbour_that_never_reports_its_demand_is_given_nothing() {
+    let mut predecessor = OverlapQuota::default();
+    predecessor.successor(1);
+    assert_eq!(predecessor.gives(1, 0), None);
+    assert_eq!(predecessor.share(), 1.0);
 }
 
 #[test]
-fn what_can_not_be_is_refused_and_changes_nothing() {
+fn impossible_messages_are_rejected_and_change_nothing() {
     let mut pair = Pair::new();
-    pair.settle([1, 1], 1);
+    pair.run([1, 1], 1);
     let held = pair.own();
-    let wrong = pair.quotas[0].gets(1, TOTAL_PARTS);
-    assert_eq!(wrong, Err(QuotaError::TooMany { given: TOTAL_PARTS, held: held[1] }));
+    let rejected = pair.quotas[0].gets(1, TOTAL_PARTS);
+    assert_eq!(rejected, Err(QuotaError::TooMany { given: TOTAL_PARTS, held: held[1] }));
     assert_eq!(pair.quotas[0].gets(7, 1), Err(QuotaError::Unknown));
     assert_eq!(pair.quotas[0].needs(7, 1), Err(QuotaError::Unknown));
     assert_eq!(pair.own(), held);
 }
 
 #[test]
-fn in_a_row_of_three_the_middle_one_passes_parts_on_and_an_ending_one_takes_none_back() {
-    // Numbers of links: 0 between old and middle, 1 between middle and new.
+fn in_a_row_of_three_the_middle_process_passes_parts_on_and_an_ending_one_takes_none_back() {
+    // Link 0 is between the old and the middle process, link 1 between the middle and the new one.
     let (mut old, mut middle, mut new) =
         (OverlapQuota::default(), OverlapQuota::default(), OverlapQuota::default());
     old.successor(0);
@@ -126,47 +126,47 @@
     let passed = middle.gives(1, 0).unwrap();
     new.gets(1, passed).unwrap();
     assert_eq!(old.own() + middle.own() + new.own(), TOTAL_PARTS);
-    // The middle one is killed; the old one drains.
+    // The middle process is killed while the old one drains.
     old.gone(0, true);
     new.gone(1, false);
     assert_eq!(
         (old.own(), new.own()),
         (MIN_PARTS, TOTAL_PARTS),
-        "at most what an ending one keeps is held twice"
+        "at most the minimum that an ending process keeps is held twice"
     );
 }
 
 proptest! {
     #[test]
-    fn never_is_more_held_than_there_is_and_the_survivor_gets_all(
+    fn no_part_is_held_twice_and_the_survivor_gets_all(
         steps in prop::collection::vec((any::<bool>(), any::<bool>(), 0..500u32), 0..200),
         survivor in 0..2usize,
         lost in any::<bool>(),
     ) {
         let mut pair = Pair::new();
-        for (who, tick, need) in steps {
-            if tick { pair.tick(who.into(), need) } else { pair.arrive(who.into()) }
+        for (second, tick, demand) in steps {
+            if tick { pair.tick(second.into(), demand) } else { pair.deliver(second.into()) }
             let own = pair.own();
             prop_assert_eq!(own[0] + own[1] + pair.parts_in_flight(), TOTAL_PARTS);
         }
-        // The other is killed: what it had written may still come, or not.
+        // The other process is killed; its messages in flight are delivered or lost.
         while !lost && !pair.in_flight[1 - survivor].is_empty() {
-            pair.arrive(1 - survivor);
+            pair.deliver(1 - survivor);
         }
         pair.quotas[survivor].gone(1 - survivor as u64, false);
         prop_assert_eq!(pair.quotas[survivor].own(), TOTAL_PARTS);
     }
 
     #[test]
-    fn needs_that_stand_still_are_met_within_a_step(a in 0..1000u32, b in 0..1000u32) {
+    fn constant_demands_are_met_to_within_a_transfer(a in 0..1000u32, b in 0..1000u32) {
         let mut pair = Pair::new();
-        pair.settle([a, b], 4);
+        pair.run([a, b], 4);
         prop_assume!(a + b > 0);
         let own = pair.own();
         let fair = f64::from(TOTAL_PARTS) * f64::from(a) / f64::from(a + b);
         let fair = fair.clamp(f64::from(MIN_PARTS), f64::from(TOTAL_PARTS - MIN_PARTS));
         prop_assert!((f64::from(own[0]) - fair).abs() <= 4.5, "{own:?} for {a} and {b}");
-        pair.settle([a, b], 4);
-        prop_assert_eq!(pair.own(), own, "and nothing goes to and fro");
+        pair.run([a, b], 4);
+        prop_assert_eq!(pair.own(), own, "parts do not oscillate");
     }
 }
