--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,12 +1,17 @@
-//! Staged rollout of configuration changes to the sidecars of a fleet, sans I/O: events and a clock in, decisions out.
+//! Staged rollout of configuration changes to the sidecars of a fleet, sans I/O: events and a clock go in, proposals and
+//! settings to apply come out.
 //!
-//! The whole state of a [`rollout`] is one record in the fleet's decided log ([`record`]). The leading consensus server
-//! moves it on ([`coordinator`]) by what sidecars report ([`reports`]); each [`subscriber`], one in a sidecar, works out
-//! from the record alone which content is its own. [`settings`] says what a content may hold.
+//! The whole state of a [`rollout`] is one record of the fleet view ([`record`]). On the leading consensus server the
+//! [`coordinator`] proposes the next state, based on what sidecars report ([`reports`]) and on how calls end. In each
+//! sidecar a [`subscriber`] derives from the record alone which configuration it has to apply. [`settings`] checks what
+//! a configuration may contain, and [`command`] turns operators' commands into proposals.
+
+#![warn(clippy::too_many_lines)]
 
 pub mod canary;
 pub mod command;
 pub mod coordinator;
+mod digest;
 pub mod record;
 pub mod reports;
 pub mod rollout;
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -1,66 +1,73 @@
-//! A rollout as a record of the fleet's decided log.
+//! The record of a rollout in the fleet view: its key, its JSON body, and how it is proposed.
 
 use crate::rollout::Rollout;
-use curlewhub_control_plane::record::{Proposal, Record, RecordKind, Version};
+use curlewhub_control_plane::record::{MAX_TEXT_BYTES, Proposal, Record, RecordKind, Version};
 use curlewhub_control_plane::view::View;
 
-/// The key of the record.
+/// The key of the record in the fleet view.
 pub const CONFIG: &str = "config";
 
-/// Why a record is no rollout.
+/// Why a record can't be used as a rollout.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Senseless {
-    /// Its key is another one.
+pub enum RecordError {
+    /// The record has another key than [`CONFIG`].
     #[error("key: allowed: {CONFIG}")]
     Key,
-    /// It can't be read.
+    /// The body is not the JSON of a rollout that this build knows.
     #[error("body: {0}")]
-    Unread(String),
-    /// Its numbers can't have come about.
+    Malformed(String),
+    /// The configuration numbers contradict each other; see [`Rollout::is_consistent`].
     #[error("body: its numbers do not follow one another")]
-    Numbers,
+    InconsistentNumbers,
 }
 
-/// The rollout that a record holds.
+/// Reads the rollout of a record.
 ///
 /// # Errors
-/// Why it holds none.
-pub fn read(record: &Record) -> Result<Rollout, Senseless> {
+/// Returns why the record can't be used.
+pub fn read(record: &Record) -> Result<Rollout, RecordError> {
     if record.proposal.key != CONFIG {
-        return Err(Senseless::Key);
+        return Err(RecordError::Key);
     }
-    let read = serde_json::from_slice(&record.proposal.body);
-    let rollout: Rollout = read.map_err(|e| Senseless::Unread(e.to_string()))?;
-    if rollout.is_sound() { Ok(rollout) } else { Err(Senseless::Numbers) }
+    let decoded = serde_json::from_slice(&record.proposal.body);
+    let rollout: Rollout = decoded.map_err(|error| RecordError::Malformed(error.to_string()))?;
+    if rollout.is_consistent() { Ok(rollout) } else { Err(RecordError::InconsistentNumbers) }
 }
 
-/// What is decided: the rollout, and the version that decided it; the empty one where nothing is.
+/// The decided rollout and the version that decided it. Before the first decision these are the default rollout and
+/// version 0.
 ///
 /// # Errors
-/// The newest record can't be read: a newer build's.
-pub fn newest(view: &View) -> Result<(Rollout, Version), Senseless> {
+/// Returns why the decided record can't be read; a newer build wrote it.
+pub fn newest(view: &View) -> Result<(Rollout, Version), RecordError> {
     match view.get(CONFIG) {
         Some(record) => Ok((read(record)?, record.version)),
         None => Ok((Rollout::default(), Version(0))),
     }
 }
 
-/// A proposal to have this one follow on the one of that version.
-pub fn proposal(id: u64, rollout: &Rollout, after: Version, by: &str, why: &str) -> Proposal {
+/// A proposal that replaces the rollout of version `expected` by this one. It is rejected if another version of the
+/// record has been decided in the meantime.
+pub fn proposal(id: u64, rollout: &Rollout, expected: Version, by: &str, why: &str) -> Proposal {
     Proposal {
         id,
         key: CONFIG.to_owned(),
         kind: RecordKind::CONFIG,
-        body: serde_json::to_vec(rollout).unwrap_or_default(), // plain data: it never fails
+        body: encode(rollout),
         by: by.to_owned(),
-        why: cut(why),
-        expected_version: Some(after),
+        why: truncate(why),
+        expected_version: Some(expected),
     }
 }
 
-/// A text cut to what a record may hold.
-pub fn cut(text: &str) -> String {
-    let mut end = text.len().min(curlewhub_control_plane::record::MAX_TEXT_BYTES);
+/// The JSON of a rollout.
+pub(crate) fn encode(rollout: &Rollout) -> Vec<u8> {
+    serde_json::to_vec(rollout).unwrap_or_default() // numbers, text and maps with text keys: it never fails
+}
+
+/// Shortens a text to [`MAX_TEXT_BYTES`], at a character boundary.
+pub(crate) fn truncate(text: &str) -> String {
+    let mut end = text.len().min(MAX_TEXT_BYTES);
     while !text.is_char_boundary(end) {
         end -= 1;
     }
--- a/crates/rollout/src/reports.rs
+++ b/crates/rollout/src/reports.rs
@@ -1,4 +1,4 @@
-//! What sidecars report of the configuration: of each the newest summary, and sums of them.
+//! Sidecars' reports about the configuration: the newest of each sidecar, and counts over all of them.
 
 use crate::canary::Sidecar;
 use crate::rollout::Rollout;
@@ -9,61 +9,64 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A sidecar reports at once what is new, and again after this.
-pub const RENEW: Duration = Duration::from_secs(5);
-/// One that has not reported for so long, three reports, is silent.
-pub const FRESH: Duration = Duration::from_secs(15);
-/// Stragglers that are named, at the most; all are counted.
-pub const STRAGGLERS_MOST: usize = 50;
+/// A sidecar repeats an unchanged report after this time; a changed one it sends at once.
+pub const REPORT_REFRESH_INTERVAL: Duration = Duration::from_secs(5);
+/// An older report no longer counts: three repetitions were missed, and the sidecar is silent.
+pub const MAX_REPORT_AGE: Duration = Duration::from_secs(15);
+/// How many stragglers a census names; the counts contain all of them.
+pub const MAX_STRAGGLERS: usize = 50;
 
-/// Why a report is not taken.
+/// Why a report was dropped. The texts are keys of counters in the JSON of `fleet status`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum NotTaken {
-    /// It is of an earlier start, or was overtaken.
+pub enum ReportRejection {
+    /// It is of an earlier incarnation, or a newer report has overtaken it.
     #[error("it is older than what is known of that sidecar")]
-    Old,
-    /// Its text is too long.
+    Outdated,
+    /// Its text is longer than allowed.
     #[error("its text is too long")]
     TooLong,
-    /// Too many sidecars.
+    /// Reports of [`MAX_SIDECARS`] other sidecars are stored, all of them recent.
     #[error("{MAX_SIDECARS} sidecars are known")]
-    NoRoom,
+    TooManySidecars,
 }
 
-/// How a sidecar stands towards what it is to have.
+/// The old name of [`ReportRejection`], until `control-plane-node` uses the new one.
+pub use ReportRejection as NotTaken;
+
+/// A sidecar's state relative to the configuration that it should have.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Standing {
-    /// It is in force.
+    /// It has the configuration in force.
     InForce,
-    /// It is refused, and why.
+    /// It refused the configuration, for this reason.
     Refused(String),
-    /// Another one is in force still.
+    /// It still has this other configuration in force.
     Behind(ConfigNumber),
-    /// Nothing was heard of it lately.
+    /// It has sent no report for [`MAX_REPORT_AGE`].
     Silent,
 }
 
-/// Sidecars by how they stand.
+/// Numbers of sidecars by [`Standing`].
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Have in force what they are to have ...
+    /// Sidecars that have the right configuration in force.
     pub in_force: u32,
-    /// ... refuse it ...
+    /// Sidecars that refused it.
     pub refused: u32,
-    /// ... have another one in force still ...
+    /// Sidecars that still have another one in force.
     pub behind: u32,
-    /// ... or have not been heard of lately.
+    /// Sidecars without a recent report.
     pub silent: u32,
 }
 
 impl Counts {
-    /// All of them.
+    /// The number of all sidecars.
     pub fn total(&self) -> u32 {
         self.in_force + self.refused + self.behind + self.silent
     }
 
-    /// Those of whom it is not known that they have it or refuse it.
+    /// The number of sidecars that are known neither to have the configuration nor to refuse it.
     pub fn missing(&self) -> u32 {
         self.behind + self.silent
     }
@@ -78,94 +81,147 @@
     }
 }
 
-/// A sidecar that does not have what it is to have.
+/// A sidecar that does not have the configuration that it should have.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Straggler {
     /// Its name.
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// How it stands.
+    /// Its state.
     pub standing: Standing,
 }
 
-/// How all sidecars stand towards a rollout.
+/// The state of all sidecars relative to a rollout.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Census {
-    /// Those that the target goes to, as far as the rollout has come.
+    /// Counts over the sidecars that should have the target in the rollout's current phase.
     pub stage: Counts,
-    /// All, by zone; those beyond the canary are counted by the base.
+    /// Counts over all sidecars by zone. Those outside the canary are compared with the base.
     pub zones: BTreeMap<String, Counts>,
-    /// Some of those that do not have what they are to have.
+    /// Up to [`MAX_STRAGGLERS`] sidecars that do not have what they should have; those that refuse it come first.
     pub stragglers: Vec<Straggler>,
 }
 
 impl Census {
-    /// The first reason of a sidecar that refuses.
+    /// The reason of the first straggler that refuses its configuration.
     pub fn first_refusal(&self) -> Option<&str> {
         self.stragglers.iter().find_map(|straggler| match &straggler.standing {
-            Standing::Refused(why) => Some(&why[..]),
+            Standing::Refused(why) => Some(why.as_str()),
             _ => None,
         })
     }
+
+    fn add(&mut self, sidecar: Sidecar<'_>, standing: Standing, is_in_stage: bool) {
+        if is_in_stage {
+            self.stage.add(&standing);
+        }
+        self.zones.entry(sidecar.zone.to_owned()).or_default().add(&standing);
+        self.add_straggler(sidecar, standing);
+    }
+
+    /// Refusals go in front, as their reasons help an operator more than the names of sidecars that are merely late.
+    fn add_straggler(&mut self, sidecar: Sidecar<'_>, standing: Standing) {
+        let is_refusal = matches!(standing, Standing::Refused(_));
+        let is_full = self.stragglers.len() >= MAX_STRAGGLERS;
+        if standing == Standing::InForce || is_full && !is_refusal {
+            return;
+        }
+        let position = if is_refusal { 0 } else { self.stragglers.len() };
+        let (name, zone) = (sidecar.name.to_owned(), sidecar.zone.to_owned());
+        self.stragglers.insert(position, Straggler { name, zone, standing });
+        self.stragglers.truncate(MAX_STRAGGLERS);
+    }
 }
 
+/// A report, and who sent it when.
 #[derive(Clone, Debug)]
-struct Heard {
+struct ReceivedReport {
     incarnation: u64,
     at: Duration,
     report: ConfigReport,
 }
 
-/// The newest report of each sidecar.
+impl ReceivedReport {
+    fn is_recent(&self, now: Duration) -> bool {
+        now.saturating_sub(self.at) <= MAX_REPORT_AGE
+    }
+
+    /// Whether the sidecar sent this report before the other one, whichever arrived first. Numbers of one incarnation
+    /// only rise.
+    fn precedes(&self, other: &ReceivedReport) -> bool {
+        self.sequence() < other.sequence()
+    }
+
+    fn sequence(&self) -> (u64, Option<ConfigNumber>, ConfigNumber) {
+        let in_force = self.report.in_force;
+        let refused = self.report.refused.as_ref().map(|refusal| refusal.number);
+        (self.incarnation, refused.max(Some(in_force)), in_force)
+    }
+}
+
+/// The newest report of each sidecar, for up to [`MAX_SIDECARS`] of them.
 #[derive(Clone, Debug, Default)]
 pub struct Reports {
-    heard: BTreeMap<String, Heard>,
+    by_sidecar: BTreeMap<String, ReceivedReport>,
 }
 
 impl Reports {
-    /// A report has come.
+    /// Stores a report that arrived at `now`, on the receiver's monotonic clock.
     ///
     /// # Errors
-    /// Why it is not taken.
-    pub fn heard(&mut self, now: Duration, from: &PeerId, report: ConfigReport) -> Result<(), NotTaken> {
+    /// Returns why the report was dropped.
+    pub fn record(
+        &mut self,
+        now: Duration,
+        from: &PeerId,
+        report: ConfigReport,
+    ) -> Result<(), ReportRejection> {
         if !report.is_valid() {
-            return Err(NotTaken::TooLong);
+            return Err(ReportRejection::TooLong);
         }
-        let order = |incarnation: u64, report: &ConfigReport| {
-            let refused = report.refused.as_ref().map(|refused| refused.number);
-            (incarnation, refused.max(Some(report.in_force)), report.in_force)
-        };
-        let is_fresh = |known: &Heard| now.saturating_sub(known.at) <= FRESH;
-        if let Some(known) = self.heard.get(&from.name) {
-            let older = order(from.incarnation, &report) < order(known.incarnation, &known.report);
-            // A process that forgot counts its starts from its clock, which may go back.
-            if older && is_fresh(known) {
-                return Err(NotTaken::Old);
+        let received = ReceivedReport { incarnation: from.incarnation, at: now, report };
+        if let Some(stored) = self.by_sidecar.get(&from.name) {
+            // A process without state takes its incarnation from the wall clock, which may step back: after a silence
+            // an earlier incarnation is accepted.
+            if received.precedes(stored) && stored.is_recent(now) {
+                return Err(ReportRejection::Outdated);
             }
-        } else if self.heard.len() >= MAX_SIDECARS {
-            self.heard.retain(|_, known| is_fresh(known));
-            if self.heard.len() >= MAX_SIDECARS {
-                return Err(NotTaken::NoRoom);
+        } else if self.by_sidecar.len() >= MAX_SIDECARS {
+            self.by_sidecar.retain(|_, stored| stored.is_recent(now));
+            if self.by_sidecar.len() >= MAX_SIDECARS {
+                return Err(ReportRejection::TooManySidecars);
             }
         }
-        let heard = Heard { incarnation: from.incarnation, at: now, report };
-        self.heard.insert(from.name.clone(), heard);
+        self.by_sidecar.insert(from.name.clone(), received);
         Ok(())
     }
 
-    /// How a sidecar stands towards a configuration.
+    /// The old name of [`Reports::record`], until `control-plane-node` uses the new one.
+    ///
+    /// # Errors
+    /// Those of [`Reports::record`].
+    pub fn heard(
+        &mut self,
+        now: Duration,
+        from: &PeerId,
+        report: ConfigReport,
+    ) -> Result<(), ReportRejection> {
+        self.record(now, from, report)
+    }
+
+    /// The state of a sidecar that should have the configuration `wanted`.
     pub fn standing(&self, now: Duration, name: &str, wanted: ConfigNumber) -> Standing {
-        let fresh = self.heard.get(name).filter(|heard| now.saturating_sub(heard.at) <= FRESH);
-        let Some(Heard { report, .. }) = fresh else { return Standing::Silent };
+        let recent = self.by_sidecar.get(name).filter(|received| received.is_recent(now));
+        let Some(ReceivedReport { report, .. }) = recent else { return Standing::Silent };
         match &report.refused {
             _ if report.in_force == wanted => Standing::InForce,
-            Some(refused) if refused.number == wanted => Standing::Refused(refused.why.clone()),
+            Some(refusal) if refusal.number == wanted => Standing::Refused(refusal.why.clone()),
             _ => Standing::Behind(report.in_force),
         }
     }
 
-    /// How all of these stand towards a rollout.
+    /// The state of these sidecars relative to a rollout.
     pub fn census<'a>(
         &self,
         now: Duration,
@@ -176,19 +232,7 @@
         for sidecar in sidecars {
             let wanted = rollout.content_for(sidecar).number;
             let standing = self.standing(now, sidecar.name, wanted);
-            if wanted == rollout.target.number {
-                census.stage.add(&standing);
-            }
-            census.zones.entry(sidecar.zone.to_owned()).or_default().add(&standing);
-            // A refusal has a reason to tell: it goes before those that are only late.
-            let refuses = matches!(standing, Standing::Refused(_));
-            if standing == Standing::InForce || census.stragglers.len() >= STRAGGLERS_MOST && !refuses {
-                continue;
-            }
-            let (name, zone) = (sidecar.name.to_owned(), sidecar.zone.to_owned());
-            let straggler = Straggler { name, zone, standing };
-            census.stragglers.insert(if refuses { 0 } else { census.stragglers.len() }, straggler);
-            census.stragglers.truncate(STRAGGLERS_MOST);
+            census.add(sidecar, standing, wanted == rollout.target.number);
         }
         census
     }
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -1,7 +1,7 @@
-//! A rollout's state, and the one function that changes it.
+//! The state machine of a rollout. [`Rollout::step`] is the only function that leads from one state to another.
 //!
-//! Numbers of configurations only rise, and each stands for one content: a rollback is a new number with the content
-//! from before. The state is decided as a whole in the fleet's log, by compare-and-set on the version before it.
+//! Configuration numbers only rise, and each stands for one content for ever: a rollback is a new number with the content
+//! of an earlier one. The state is one record of the fleet view, replaced as a whole by compare-and-set on its version.
 
 use crate::canary::{self, Sidecar};
 use crate::settings;
@@ -10,12 +10,12 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A configuration: a number, and what it stands for.
+/// A configuration: its number and its settings.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Content {
-    /// Its number.
+    /// The number, 0 for that of a fleet whose configuration was never changed.
     pub number: ConfigNumber,
-    /// All settings that differ from what each sidecar's own file says.
+    /// The settings that override those in each sidecar's own file.
     pub settings: Settings,
 }
 
@@ -23,40 +23,40 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "name")]
 pub enum Phase {
-    /// Only the canary has the target; the others stay with the base.
+    /// Only the canary is to have the target; all others stay with the base.
     Canary,
-    /// As [`Phase::Canary`], and it goes no further by itself.
+    /// As [`Phase::Canary`], but only an operator's command leads on.
     Halted {
-        /// Why.
+        /// Why it was halted.
         why: String,
     },
-    /// All are to have the target.
+    /// All sidecars are to have the target.
     All,
-    /// As far as is known all have it, or have refused it.
+    /// As far as is known, all sidecars have the target or have refused it.
     Complete,
-    /// All are to have the target, which is the content from before another one.
+    /// All sidecars are to have the target, whose content is that of an earlier configuration.
     RollingBack {
-        /// What is left.
+        /// The configuration that is rolled back.
         from: ConfigNumber,
-        /// Why.
+        /// Why it is rolled back.
         why: String,
     },
-    /// They do.
+    /// As far as is known, all sidecars have completed the rollback or have refused it.
     RolledBack {
-        /// What was left.
+        /// The configuration that was rolled back.
         from: ConfigNumber,
-        /// Why.
+        /// Why it was rolled back.
         why: String,
     },
 }
 
 impl Phase {
-    /// Whether nothing happens any more until an operator wants it.
+    /// Whether the rollout is over: nothing changes until an operator proposes something.
     pub fn is_settled(&self) -> bool {
         matches!(self, Phase::Complete | Phase::RolledBack { .. })
     }
 
-    /// Whether only the canary has the target.
+    /// Whether the target is confined to the canary.
     pub fn is_canary(&self) -> bool {
         matches!(self, Phase::Canary | Phase::Halted { .. })
     }
@@ -75,87 +75,88 @@
     }
 }
 
-/// A change that waits for the one before it.
+/// A change that is started once the current rollout is over.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Pending {
-    /// What it is.
+    /// The new configuration.
     pub content: Content,
-    /// How it will be spread.
+    /// How it will be rolled out.
     pub plan: RolloutPlan,
 }
 
-/// A rollout: what all had before, what they are to have, and how far that is.
+/// The state of a rollout: from which configuration to which, and how far it has come.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Rollout {
-    /// The greatest number that was ever given.
+    /// The highest number that was ever given out.
     pub newest: ConfigNumber,
-    /// What was in force before, for those whom the target does not go to yet.
+    /// The configuration before the target; sidecars outside the canary keep it for now.
     pub base: Content,
-    /// What is spread.
+    /// The configuration that is rolled out.
     pub target: Content,
-    /// How.
+    /// The stages of the rollout and their limits.
     pub plan: RolloutPlan,
-    /// How far.
+    /// How far the rollout has come.
     pub phase: Phase,
-    /// What comes next. Of several only the newest waits, as it holds what the others changed.
+    /// The next change. Proposals that arrive during a rollout replace each other here: each contains the ones before.
     pub pending: Option<Pending>,
 }
 
-/// What happens to a rollout. Each names the number that it is about.
+/// What happens to a rollout. Each event names the configuration that it concerns.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// An operator proposes settings, made from those of this number.
+    /// An operator proposes new settings.
     Propose {
-        /// What they were made from.
+        /// The configuration that the operator edited; it has to be the newest.
         base: ConfigNumber,
-        /// All settings.
+        /// The new settings, complete.
         settings: Settings,
-        /// How they are spread.
+        /// How they are rolled out.
         plan: RolloutPlan,
     },
-    /// An operator has it go to all; or the canary has held it without harm.
+    /// The target is to go to all sidecars: by an operator's command, or because the canary has soaked without harm.
     Promote(ConfigNumber),
-    /// An operator stops it; or the canary does not come to hold it.
+    /// The rollout is to stop at its canary, for this reason: by an operator's command, or because the canary did not apply
+    /// the target in time.
     Halt(ConfigNumber, String),
-    /// An operator goes back; or harm was measured.
+    /// The target is to be rolled back, for this reason: by an operator's command, or because of measured harm.
     Rollback(ConfigNumber, String),
-    /// As far as is known all have it, or have refused it.
-    Reached(ConfigNumber),
+    /// As far as is known, all sidecars have the target or have refused it.
+    Completed(ConfigNumber),
 }
 
-/// Why an event changes nothing.
+/// Why an event was rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Refused {
-    /// Another operator was first.
+pub enum EventRejection {
+    /// The proposal was made from an outdated configuration; another operator was faster.
     #[error(
         "base: it was made from configuration {base}, and the newest is {newest}; allowed: {newest}, with its settings read again"
     )]
-    Base {
-        /// What it was made from.
+    OutdatedBase {
+        /// The configuration that the proposal was made from.
         base: ConfigNumber,
-        /// The newest.
+        /// The newest configuration.
         newest: ConfigNumber,
     },
-    /// It makes no sense.
+    /// The settings or the plan are invalid.
     #[error("{}", settings::listed(.0))]
-    Senseless(Vec<Problem>),
-    /// It is about another configuration than the one that is being spread.
+    Invalid(Vec<Problem>),
+    /// The event concerns the first configuration, but the second one is being rolled out.
     #[error("number: {0} is not being spread; {1} is")]
-    Number(ConfigNumber, ConfigNumber),
-    /// It can't happen now.
-    #[error("configuration {number} is {phase}; {wanted}")]
-    Phase {
-        /// Which.
+    NotTheTarget(ConfigNumber, ConfigNumber),
+    /// The event is not allowed in the current phase.
+    #[error("configuration {number} is {phase}; {hint}")]
+    WrongPhase {
+        /// The target.
         number: ConfigNumber,
-        /// How far it is.
+        /// The current phase.
         phase: Box<Phase>,
-        /// When it could.
-        wanted: &'static str,
+        /// What is allowed instead.
+        hint: &'static str,
     },
 }
 
 impl Default for Rollout {
-    /// That of a fleet in which nobody has changed anything yet.
+    /// The state of a fleet whose configuration was never changed.
     fn default() -> Self {
         Rollout {
             newest: ConfigNumber(0),
@@ -169,43 +170,44 @@
 }
 
 impl Rollout {
-    /// What a sidecar is to have in force.
+    /// The configuration that a sidecar should have in force.
     pub fn content_for(&self, sidecar: Sidecar<'_>) -> &Content {
-        let canary = canary::includes(&self.plan.canary, self.target.number, sidecar);
-        if self.phase.is_canary() && !canary { &self.base } else { &self.target }
+        let in_canary = canary::includes(&self.plan.canary, self.target.number, sidecar);
+        if self.phase.is_canary() && !in_canary { &self.base } else { &self.target }
     }
 
-    /// The newest settings: what a next change is made from.
+    /// The newest settings, which the next proposal has to start from.
     pub fn newest_settings(&self) -> &Settings {
         self.pending.as_ref().map_or(&self.target.settings, |pending| &pending.content.settings)
     }
 
-    /// Whether its numbers can have come about by [`Rollout::step`].
-    pub fn is_sound(&self) -> bool {
-        let waits = self.pending.as_ref().map_or(self.target.number, |pending| pending.content.number);
-        let ordered = self.base.number < self.target.number || self.newest == ConfigNumber(0);
-        ordered && waits >= self.target.number && self.newest == waits
+    /// Whether [`Rollout::step`] can have produced these configuration numbers.
+    pub fn is_consistent(&self) -> bool {
+        let last = self.pending.as_ref().map_or(self.target.number, |pending| pending.content.number);
+        let is_ordered = self.base.number < self.target.number || self.newest == ConfigNumber(0);
+        is_ordered && last >= self.target.number && self.newest == last
     }
 
-    /// The state after an event: the only way to another one.
+    /// The state after an event.
     ///
     /// # Errors
-    /// Why it changes nothing.
-    pub fn step(&self, event: Event) -> Result<Rollout, Refused> {
+    /// Returns why the event is not allowed; the state does not change then.
+    pub fn step(&self, event: Event) -> Result<Rollout, EventRejection> {
         match event {
             Event::Propose { base, settings, plan } => self.propose(base, settings, plan),
-            Event::Promote(number) => self.about(number)?.promote(),
-            Event::Halt(number, why) => self.about(number)?.halt(why),
-            Event::Rollback(number, why) => self.about(number)?.roll_back(why),
-            Event::Reached(number) => self.about(number)?.reached(),
+            Event::Promote(number) => self.with_target(number)?.promote(),
+            Event::Halt(number, why) => self.with_target(number)?.halt(why),
+            Event::Rollback(number, why) => self.with_target(number)?.roll_back(why),
+            Event::Completed(number) => self.with_target(number)?.complete(),
         }
     }
 
-    fn about(&self, number: ConfigNumber) -> Result<&Rollout, Refused> {
+    /// This rollout, if its target has this number.
+    fn with_target(&self, number: ConfigNumber) -> Result<&Rollout, EventRejection> {
         if number == self.target.number {
             Ok(self)
         } else {
-            Err(Refused::Number(number, self.target.number))
+            Err(EventRejection::NotTheTarget(number, self.target.number))
         }
     }
 
@@ -214,67 +216,68 @@
         base: ConfigNumber,
         settings: Settings,
         plan: RolloutPlan,
-    ) -> Result<Rollout, Refused> {
+    ) -> Result<Rollout, EventRejection> {
         if base != self.newest {
-            return Err(Refused::Base { base, newest: self.newest });
+            return Err(EventRejection::OutdatedBase { base, newest: self.newest });
         }
         let mut problems = settings::problems(&settings);
         problems.extend(settings::plan_problems(&plan));
         if !problems.is_empty() {
-            return Err(Refused::Senseless(problems));
+            return Err(EventRejection::Invalid(problems));
         }
         if matches!(self.phase, Phase::Halted { .. }) {
-            return self.not_now("promote it or roll it back first");
+            return self.wrong_phase("promote it or roll it back first");
         }
         let number = self.newest.next();
         let pending = Pending { content: Content { number, settings }, plan };
         let next = Rollout { newest: number, pending: Some(pending), ..self.clone() };
-        Ok(if self.phase.is_settled() { next.started() } else { next })
+        Ok(if self.phase.is_settled() { next.start_pending() } else { next })
     }
 
-    /// What waits begins, once nothing is under way.
-    fn started(self) -> Rollout {
+    /// Starts the pending change, if there is one.
+    fn start_pending(self) -> Rollout {
         let Some(Pending { content, plan }) = self.pending else { return self };
         let phase = if canary::is_empty(&plan.canary) { Phase::All } else { Phase::Canary };
         Rollout { newest: self.newest, base: self.target, target: content, plan, phase, pending: None }
     }
 
-    fn promote(&self) -> Result<Rollout, Refused> {
+    fn promote(&self) -> Result<Rollout, EventRejection> {
         if !self.phase.is_canary() {
-            return self.not_now("only a canary is promoted");
+            return self.wrong_phase("only a canary is promoted");
         }
         Ok(Rollout { phase: Phase::All, ..self.clone() })
     }
 
-    fn halt(&self, why: String) -> Result<Rollout, Refused> {
+    fn halt(&self, why: String) -> Result<Rollout, EventRejection> {
         if self.phase != Phase::Canary {
-            return self.not_now("only a canary is halted; roll it back");
+            return self.wrong_phase("only a canary is halted; roll it back");
         }
         Ok(Rollout { phase: Phase::Halted { why }, ..self.clone() })
     }
 
-    fn roll_back(&self, why: String) -> Result<Rollout, Refused> {
-        let back = matches!(self.phase, Phase::RollingBack { .. } | Phase::RolledBack { .. });
-        if back || self.newest == ConfigNumber(0) {
-            return self.not_now("there is nothing before it to go back to; propose what you want");
+    fn roll_back(&self, why: String) -> Result<Rollout, EventRejection> {
+        let is_rollback = matches!(self.phase, Phase::RollingBack { .. } | Phase::RolledBack { .. });
+        if is_rollback || self.newest == ConfigNumber(0) {
+            return self.wrong_phase("there is nothing before it to go back to; propose what you want");
         }
         let number = self.newest.next();
         let target = Content { number, settings: self.base.settings.clone() };
         let phase = Phase::RollingBack { from: self.target.number, why };
-        // What waits was made from what is left.
+        // The pending change was made from the target that is rolled back, so it goes as well.
         Ok(Rollout { newest: number, target, phase, pending: None, ..self.clone() })
     }
 
-    fn reached(&self) -> Result<Rollout, Refused> {
+    fn complete(&self) -> Result<Rollout, EventRejection> {
         let phase = match &self.phase {
             Phase::All => Phase::Complete,
             Phase::RollingBack { from, why } => Phase::RolledBack { from: *from, why: why.clone() },
-            _ => return self.not_now("it does not go to all"),
+            _ => return self.wrong_phase("it does not go to all"),
         };
-        Ok(Rollout { phase, ..self.clone() }.started())
+        Ok(Rollout { phase, ..self.clone() }.start_pending())
     }
 
-    fn not_now(&self, wanted: &'static str) -> Result<Rollout, Refused> {
-        Err(Refused::Phase { number: self.target.number, phase: Box::new(self.phase.clone()), wanted })
+    fn wrong_phase(&self, hint: &'static str) -> Result<Rollout, EventRejection> {
+        let phase = Box::new(self.phase.clone());
+        Err(EventRejection::WrongPhase { number: self.target.number, phase, hint })
     }
 }
--- a/crates/rollout/src/status.rs
+++ b/crates/rollout/src/status.rs
@@ -1,20 +1,20 @@
-//! How a rollout stands, for operators.
+//! The state of a rollout as operators see it.
 
 use crate::reports::Census;
 use crate::rollout::Rollout;
 use serde::{Deserialize, Serialize};
 
-/// How the configuration stands, by one consensus server.
+/// The configuration's state as one consensus server knows it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ConfigStatus {
-    /// Who says so.
+    /// The name of the consensus server.
     pub by: String,
-    /// It leads.
+    /// Whether that server is the leader. Others may lag behind.
     pub leads: bool,
-    /// The version of the fleet's log that decided it.
+    /// The version of the fleet view that decided `rollout`; 0 before the first decision.
     pub version: u64,
-    /// What is decided.
+    /// The decided state.
     pub rollout: Rollout,
-    /// Who has it.
+    /// How far sidecars have applied it, by their reports to this server.
     pub census: Census,
 }
--- a/crates/rollout/src/subscriber.rs
+++ b/crates/rollout/src/subscriber.rs
@@ -1,63 +1,79 @@
-//! A sidecar's part: which content is its own, what it made of it, and what it reports.
+//! A sidecar's side of rollouts: which configuration to apply, and what to report about that.
 
 use crate::canary::Sidecar;
 use crate::record;
-use crate::reports::RENEW;
+use crate::reports::REPORT_REFRESH_INTERVAL;
 use crate::rollout::Rollout;
 use curlewhub_control_plane::configuration::{ConfigNumber, ConfigReport, Refusal, SettingValues};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Between two reports that differ, at the least: 840 changes that come at once are told of as few.
-const REPORT_LEAST: Duration = Duration::from_millis(200);
+/// The shortest time between two reports that differ, so that a burst of changes leads to few reports.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A sidecar's part in rollouts. What is in force only goes to higher numbers, and only to ones that were decided.
+/// A sidecar's state in rollouts. The number in force only rises, and only to numbers that were decided.
 #[derive(Clone, Debug)]
 pub struct Subscriber {
     name: String,
     zone: String,
     in_force: ConfigNumber,
-    /// Of base and target those that it has refused, and why.
+    /// The configurations that were refused, with the reason. Only those of the current base and target are kept.
     refused: BTreeMap<ConfigNumber, String>,
-    /// Refused since the start, in all.
-    refusals: u64,
-    /// Something was decided: before that there is nothing to report.
-    begun: bool,
-    reported: Option<(Duration, ConfigReport)>,
+    refusals_since_start: u64,
+    /// The state of reporting; `None` until the first decision, as there is nothing to report before.
+    reporting: Option<Reporting>,
+}
+
+/// What has been reported since the first decision.
+#[derive(Clone, Debug, Default)]
+struct Reporting {
+    last: Option<SentReport>,
+}
+
+#[derive(Clone, Debug)]
+struct SentReport {
+    at: Duration,
+    report: ConfigReport,
 }
 
 impl Subscriber {
-    /// One that begins with its own file alone.
+    /// A sidecar that has applied nothing but its own file: configuration 0.
     pub fn new(name: &str, zone: &str) -> Subscriber {
-        let (in_force, refused, refusals, begun, reported) = Default::default();
-        let (name, zone) = (name.to_owned(), zone.to_owned());
-        Subscriber { name, zone, in_force, refused, refusals, begun, reported }
+        Subscriber {
+            name: name.to_owned(),
+            zone: zone.to_owned(),
+            in_force: ConfigNumber::default(),
+            refused: BTreeMap::new(),
+            refusals_since_start: 0,
+            reporting: None,
+        }
     }
 
-    /// What is in force.
+    /// The configuration in force.
     pub fn in_force(&self) -> ConfigNumber {
         self.in_force
     }
 
-    /// The newest that it refuses.
+    /// The newest refused configuration, if it is newer than the one in force.
     pub fn refused(&self) -> Option<Refusal> {
         let (number, why) = self.refused.last_key_value()?;
         (*number > self.in_force).then(|| Refusal { number: *number, why: why.clone() })
     }
 
-    /// How many it has refused.
+    /// How many configurations were refused since the start of the process.
     pub fn refusals(&self) -> u64 {
-        self.refusals
+        self.refusals_since_start
     }
 
-    /// Has what is decided put into force. Where what it is to have is refused it keeps what it has, or takes what was in
-    /// force before that, if that is newer.
+    /// Takes in a decided rollout and has `apply` put this sidecar's settings into force. If `apply` refuses them with a
+    /// reason, the base is tried, provided that it is newer than what is in force. A refused number is not tried again
+    /// while it is the rollout's base or target.
     pub fn decided(
         &mut self,
         rollout: &Rollout,
         mut apply: impl FnMut(ConfigNumber, &SettingValues) -> Result<(), String>,
     ) {
-        self.begun = true;
+        self.reporting.get_or_insert_default();
         let (base, target) = (rollout.base.number, rollout.target.number);
         self.refused.retain(|number, _| *number == base || *number == target);
         let sidecar = Sidecar { name: &self.name, zone: &self.zone };
@@ -69,29 +85,31 @@
                 continue;
             }
             match apply(content.number, &content.settings.in_zone(&self.zone)) {
-                Ok(()) => return self.in_force = content.number,
+                Ok(()) => {
+                    self.in_force = content.number;
+                    return;
+                }
                 Err(why) => {
-                    self.refusals += 1;
-                    self.refused.insert(content.number, record::cut(&why));
+                    self.refusals_since_start += 1;
+                    self.refused.insert(content.number, record::truncate(&why));
                 }
             }
         }
     }
 
-    /// What is to be reported now, if anything: at once what is new, and again after a while.
+    /// The report that is due at `now`, if any: a changed one at once, but not twice within 200 ms, and an
+    /// unchanged one after [`REPORT_REFRESH_INTERVAL`].
     pub fn report(&mut self, now: Duration) -> Option<ConfigReport> {
-        if !self.begun {
-            return None;
-        }
-        let (in_force, refused) = (self.in_force, self.refused());
-        let report = ConfigReport { in_force, refused };
-        if let Some((at, before)) = &self.reported {
-            let wait = if *before == report { RENEW } else { REPORT_LEAST };
-            if now.saturating_sub(*at) < wait {
+        let report = ConfigReport { in_force: self.in_force, refused: self.refused() };
+        let reporting = self.reporting.as_mut()?;
+        if let Some(last) = &reporting.last {
+            let unchanged = last.report == report;
+            let interval = if unchanged { REPORT_REFRESH_INTERVAL } else { MIN_REPORT_INTERVAL };
+            if now.saturating_sub(last.at) < interval {
                 return None;
             }
         }
-        self.reported = Some((now, report.clone()));
+        reporting.last = Some(SentReport { at: now, report: report.clone() });
         Some(report)
     }
 }
--- a/crates/rollout/tests/fleet.rs
+++ b/crates/rollout/tests/fleet.rs
@@ -1,12 +1,12 @@
-//! Rollouts over a simulated fleet: reports that are lost and overtaken, sidecars that restart, are cut off or refuse,
-//! servers that lag and change their leader, and operators who want everything at once.
+//! Rollouts in a simulated fleet: reports that are lost or reordered, sidecars that restart, are partitioned or refuse
+//! settings, servers that lag and elect new leaders, and operators who send commands in any order.
 
 use curlewhub_control_plane::configuration::{Canary, ConfigNumber, ConfigReport, RolloutPlan, Settings};
 use curlewhub_control_plane::protocol::PeerId;
 use curlewhub_control_plane::record::{Record, Version};
 use curlewhub_control_plane::view::View;
 use curlewhub_rollout::canary::{Sidecar, includes};
-use curlewhub_rollout::coordinator::{CallOutcomes, Coordinator, Known, Outcomes};
+use curlewhub_rollout::coordinator::{CallOutcomes, Coordinator, CoordinatorInput, Outcomes};
 use curlewhub_rollout::record;
 use curlewhub_rollout::reports::Counts;
 use curlewhub_rollout::rollout::{Event, Phase, Rollout};
@@ -26,10 +26,10 @@
     zone: &'static str,
     incarnation: u64,
     subscriber: Subscriber,
-    /// Values that its build refuses.
+    /// The log level that its build refuses.
     refuses: Option<&'static str>,
-    /// It neither hears nor is heard until then.
-    cut_until: Duration,
+    /// It neither receives nor sends anything until this time.
+    partitioned_until: Duration,
 }
 
 impl Process {
@@ -40,24 +40,24 @@
 
 struct Server {
     coordinator: Coordinator,
-    /// How much of the log it has.
-    has: usize,
+    /// How many entries of the log it has.
+    log_length: usize,
 }
 
 /// A fleet on one clock.
 struct Fleet {
     now: Duration,
-    draws: Pcg32,
-    /// What is decided, from version 1 on.
+    random: Pcg32,
+    /// The decided rollouts, from version 1 on.
     log: Vec<(Version, Rollout)>,
     view: View,
     servers: Vec<Server>,
     leader: usize,
     processes: Vec<Process>,
-    under_way: Vec<(Duration, usize, PeerId, ConfigReport)>,
+    reports_in_flight: Vec<(Duration, usize, PeerId, ConfigReport)>,
     contents: BTreeMap<ConfigNumber, Settings>,
-    /// Numbers that were ever to go to all.
-    to_all: BTreeSet<ConfigNumber>,
+    /// Numbers that were ever rolled out to all sidecars.
+    ever_for_all: BTreeSet<ConfigNumber>,
     /// Canaries by number.
     canaries: BTreeMap<ConfigNumber, Canary>,
     outcomes: Outcomes,
@@ -84,20 +84,22 @@
                 incarnation: 1,
                 subscriber,
                 refuses: refuses(n),
-                cut_until: Duration::ZERO,
+                partitioned_until: Duration::ZERO,
             }
         };
         Fleet {
             now: Duration::from_secs(1000),
-            draws: Pcg32::seed_from_u64(seed),
+            random: Pcg32::seed_from_u64(seed),
             log: Vec::new(),
             view: View::default(),
-            servers: (0..SERVERS).map(|_| Server { coordinator: Coordinator::default(), has: 0 }).collect(),
+            servers: (0..SERVERS)
+                .map(|_| Server { coordinator: Coordinator::default(), log_length: 0 })
+                .collect(),
             leader: 0,
             processes: (0..size).map(process).collect(),
-            under_way: Vec::new(),
+            reports_in_flight: Vec::new(),
             contents: [(ConfigNumber(0), Settings::default())].into(),
-            to_all: [ConfigNumber(0)].into(),
+            ever_for_all: [ConfigNumber(0)].into(),
             canaries: BTreeMap::new(),
             outcomes: Outcomes::default(),
             faulty: false,
@@ -108,7 +110,7 @@
         self.log.last().map_or(Rollout::default(), |(_, rollout)| rollout.clone())
     }
 
-    /// Decides a proposal, if it follows on what is decided.
+    /// Decides a proposal, if it expects the newest version.
     fn decide(&mut self, proposal: curlewhub_control_plane::record::Proposal) -> bool {
         let (_, version) = record::newest(&self.view).unwrap();
         if proposal.expected_version != Some(version) {
@@ -119,15 +121,15 @@
         self.view.apply(record).unwrap();
         let (rollout, version) = record::newest(&self.view).unwrap();
         self.log.push((version, rollout.clone()));
-        let waits = rollout.pending.as_ref().map(|pending| &pending.content);
-        for content in [&rollout.base, &rollout.target].into_iter().chain(waits) {
+        let pending = rollout.pending.as_ref().map(|pending| &pending.content);
+        for content in [&rollout.base, &rollout.target].into_iter().chain(pending) {
             let known = self.contents.entry(content.number).or_insert_with(|| content.settings.clone());
             assert_eq!(*known, content.settings, "one number, two contents");
         }
         if rollout.phase.is_canary() {
             self.canaries.insert(rollout.target.number, rollout.plan.canary);
         } else {
-            self.to_all.insert(rollout.target.number);
+            self.ever_for_all.insert(rollout.target.number);
         }
         true
     }
@@ -135,7 +137,7 @@
     fn operator(&mut self, event: Event) -> Result<(), String> {
         let (rollout, version) = record::newest(&self.view).unwrap();
         let next = rollout.step(event).map_err(|e| e.to_string())?;
-        let id = self.draws.random();
+        let id = self.random.random();
         assert!(self.decide(record::proposal(id, &next, version, "anna", "")));
         Ok(())
     }
@@ -153,47 +155,47 @@
     fn step(&mut self) {
         self.now += STEP;
         if self.faulty {
-            self.faults();
+            self.inject_faults();
         }
         for server in &mut self.servers {
-            if !self.faulty || self.draws.random_bool(0.5) {
-                server.has = self.log.len();
+            if !self.faulty || self.random.random_bool(0.5) {
+                server.log_length = self.log.len();
             }
         }
-        self.subscribers();
+        self.run_sidecars();
         self.deliver();
-        self.lead();
+        self.run_coordinators();
         self.check();
     }
 
-    fn faults(&mut self) {
-        if self.draws.random_bool(0.02) {
-            self.leader = self.draws.random_range(0..SERVERS);
+    fn inject_faults(&mut self) {
+        if self.random.random_bool(0.02) {
+            self.leader = self.random.random_range(0..SERVERS);
         }
-        if self.draws.random_bool(0.05) {
-            let n = self.draws.random_range(0..self.processes.len());
+        if self.random.random_bool(0.05) {
+            let n = self.random.random_range(0..self.processes.len());
             let process = &mut self.processes[n];
             process.incarnation += 1;
             process.subscriber = Subscriber::new(&process.name, process.zone);
         }
-        if self.draws.random_bool(0.03) {
-            // One, or a zone.
-            let until = self.now + STEP * self.draws.random_range(5..200);
-            let zone = self.draws.random_bool(0.3).then(|| ZONES.choose(&mut self.draws)).flatten();
-            let n = self.draws.random_range(0..self.processes.len());
+        if self.random.random_bool(0.03) {
+            // One sidecar, or a zone.
+            let until = self.now + STEP * self.random.random_range(5..200);
+            let zone = self.random.random_bool(0.3).then(|| ZONES.choose(&mut self.random)).flatten();
+            let n = self.random.random_range(0..self.processes.len());
             for (k, process) in self.processes.iter_mut().enumerate() {
                 if zone == Some(&process.zone) || zone.is_none() && k == n {
-                    process.cut_until = until;
+                    process.partitioned_until = until;
                 }
             }
         }
     }
 
-    fn subscribers(&mut self) {
-        for process in self.processes.iter_mut().filter(|process| process.cut_until <= self.now) {
-            // One that was cut off, or is slow, takes the newest and never saw those before.
+    fn run_sidecars(&mut self) {
+        for process in self.processes.iter_mut().filter(|process| process.partitioned_until <= self.now) {
+            // A sidecar that was partitioned, or is slow, sees only the newest rollout.
             if let Some((_, rollout)) =
-                self.log.last().filter(|_| !self.faulty || self.draws.random_bool(0.7))
+                self.log.last().filter(|_| !self.faulty || self.random.random_bool(0.7))
             {
                 let refuses = process.refuses;
                 process.subscriber.decided(rollout, |_, values| {
@@ -206,46 +208,51 @@
                 });
             }
             let Some(report) = process.subscriber.report(self.now) else { continue };
-            let who = PeerId { name: process.name.clone(), incarnation: process.incarnation };
+            let sender = PeerId { name: process.name.clone(), incarnation: process.incarnation };
             for server in 0..SERVERS {
-                if self.faulty && self.draws.random_bool(0.2) {
+                if self.faulty && self.random.random_bool(0.2) {
                     continue;
                 }
-                let late = if self.faulty { self.draws.random_range(0..30) } else { 0 };
-                self.under_way.push((self.now + STEP * late, server, who.clone(), report.clone()));
+                let delay_steps = if self.faulty { self.random.random_range(0..30) } else { 0 };
+                self.reports_in_flight.push((
+                    self.now + STEP * delay_steps,
+                    server,
+                    sender.clone(),
+                    report.clone(),
+                ));
             }
         }
     }
 
     fn deliver(&mut self) {
-        let (due, waits) =
-            std::mem::take(&mut self.under_way).into_iter().partition(|(at, ..)| *at <= self.now);
-        self.under_way = waits;
-        for (_, server, who, report) in due {
-            let _ = self.servers[server].coordinator.reports.heard(self.now, &who, report);
+        let (due, not_yet) =
+            std::mem::take(&mut self.reports_in_flight).into_iter().partition(|(at, ..)| *at <= self.now);
+        self.reports_in_flight = not_yet;
+        for (_, server, sender, report) in due {
+            let _ = self.servers[server].coordinator.reports.record(self.now, &sender, report);
         }
     }
 
-    /// Each server that thinks it leads has its say; while leaders change that may be two.
-    fn lead(&mut self) {
-        let before = if self.faulty { (self.leader + 1) % SERVERS } else { self.leader };
+    /// Evaluates the rollout on each server that takes itself for the leader; under faults these are two.
+    fn run_coordinators(&mut self) {
+        let former = if self.faulty { (self.leader + 1) % SERVERS } else { self.leader };
         for n in 0..SERVERS {
-            let leads = n == self.leader || n == before;
-            let has = self.servers[n].has;
-            if !self.servers[n].coordinator.is_due(self.now, leads) || has == 0 {
+            let leads = n == self.leader || n == former;
+            let log_length = self.servers[n].log_length;
+            if !self.servers[n].coordinator.is_due(self.now, leads) || log_length == 0 {
                 continue;
             }
-            let (version, rollout) = self.log[has - 1].clone();
+            let (version, rollout) = self.log[log_length - 1].clone();
             let sidecars: Vec<Sidecar<'_>> = self.processes.iter().map(Process::sidecar).collect();
             let own = format!("k{n}");
-            let known = Known {
+            let input = CoordinatorInput {
                 own: &own,
                 rollout: &rollout,
                 version,
                 sidecars: &sidecars,
                 outcomes: self.outcomes,
             };
-            let proposal = self.servers[n].coordinator.look(self.now, &known);
+            let proposal = self.servers[n].coordinator.next_proposal(self.now, &input);
             if let Some(proposal) = proposal {
                 self.decide(proposal);
             }
@@ -257,9 +264,9 @@
             let number = process.subscriber.in_force();
             assert!(self.contents.contains_key(&number), "{} was never decided", number);
             let canary = self.canaries.get(&number);
-            let may = self.to_all.contains(&number)
+            let is_allowed = self.ever_for_all.contains(&number)
                 || canary.is_some_and(|canary| includes(canary, number, process.sidecar()));
-            assert!(may, "{} has {number} and is in no canary of it", process.name);
+            assert!(is_allowed, "{} has {number} and is in no canary of it", process.name);
         }
     }
 
@@ -275,17 +282,17 @@
 }
 
 #[test]
-fn faults_spread_nothing_undecided_and_after_them_all_that_are_reached_have_one_content() {
+fn under_faults_only_decided_content_spreads_and_afterwards_all_sidecars_agree() {
     for seed in 0..40 {
-        // One in twenty refuses some value in each of these; it holds up no other.
+        // One of the forty sidecars refuses one of the values; that does not hold up the others.
         let mut fleet = Fleet::new(seed, 40, |n| (n == 7).then_some("trace"));
         fleet.faulty = true;
         for _ in 0..900 {
-            if fleet.draws.random_bool(0.05) {
+            if fleet.random.random_bool(0.05) {
                 let number = fleet.rollout().target.number;
-                let value = *["error", "warn", "info", "debug", "trace"].choose(&mut fleet.draws).unwrap();
+                let value = *["error", "warn", "info", "debug", "trace"].choose(&mut fleet.random).unwrap();
                 let settings = level(value);
-                let event = match fleet.draws.random_range(0..10) {
+                let event = match fleet.random.random_range(0..10) {
                     0..6 => Event::Propose { base: fleet.rollout().newest, settings, plan: plan() },
                     6 => Event::Propose { base: number, settings, plan: plan() },
                     7 => Event::Promote(number),
@@ -297,7 +304,7 @@
             fleet.step();
         }
         fleet.faulty = false;
-        fleet.processes.iter_mut().for_each(|process| process.cut_until = Duration::ZERO);
+        fleet.processes.iter_mut().for_each(|process| process.partitioned_until = Duration::ZERO);
         fleet.run(40);
         if let Phase::Halted { .. } = fleet.rollout().phase {
             let number = fleet.rollout().target.number;
@@ -313,7 +320,7 @@
 }
 
 #[test]
-fn a_change_is_in_force_everywhere_within_15_s_also_one_that_comes_while_another_is_under_way() {
+fn a_change_is_in_force_everywhere_within_15_s_also_during_another_rollout() {
     let mut fleet = Fleet::new(1, 200, |_| None);
     fleet.propose("debug");
     fleet.run(2);
@@ -325,7 +332,7 @@
 }
 
 #[test]
-fn changes_each_second_for_an_hour_coalesce_and_are_never_held_back() {
+fn changes_throughout_an_hour_coalesce_and_are_never_held_back() {
     let mut fleet = Fleet::new(2, 40, |_| None);
     let mut last = ConfigNumber(0);
     // 840 changes of a day, in an hour.
@@ -333,7 +340,7 @@
         fleet.propose(["warn", "info"][n % 2]);
         (0..43).for_each(|_| fleet.step());
         let target = fleet.rollout().target.number;
-        assert!(fleet.rollout().newest.0 - target.0 <= 3, "what waits is never far ahead");
+        assert!(fleet.rollout().newest.0 - target.0 <= 3, "the pending change is never far ahead");
         last = last.max(target);
     }
     fleet.run(15);
@@ -352,15 +359,15 @@
     let rollout = fleet.rollout();
     let Phase::RolledBack { from, why } = &rollout.phase else { panic!("{:?}", rollout.phase) };
     assert!(*from == ConfigNumber(2) && why.contains("unknown here"), "{from}: {why}");
-    assert!(!fleet.to_all.contains(&ConfigNumber(2)));
+    assert!(!fleet.ever_for_all.contains(&ConfigNumber(2)));
     assert_eq!((&rollout.target.settings, fleet.counts().in_force), (&level("warn"), 80));
 }
 
 #[test]
 fn a_canary_whose_calls_fail_is_rolled_back_and_one_that_failed_before_is_not() {
-    let outcomes = |canary, rest| Outcomes {
-        canary: CallOutcomes { known: 1000, failed: canary },
-        rest: CallOutcomes { known: 1000, failed: rest },
+    let outcomes = |canary, others| Outcomes {
+        canary: CallOutcomes { total: 1000, failed: canary },
+        others: CallOutcomes { total: 1000, failed: others },
     };
     for (before, after, harmed) in
         [((10, 10), (100, 10), true), ((100, 10), (100, 10), false), ((10, 10), (90, 90), false)]
@@ -377,10 +384,10 @@
 }
 
 #[test]
-fn a_canary_that_is_not_reached_is_halted_and_goes_on_by_command() {
+fn an_unreachable_canary_is_halted_until_an_operator_promotes_it() {
     let mut fleet = Fleet::new(5, 40, |_| None);
     for process in fleet.processes.iter_mut().filter(|process| process.zone == "b") {
-        process.cut_until = Duration::MAX;
+        process.partitioned_until = Duration::MAX;
     }
     fleet.propose("debug");
     fleet.run(10);
@@ -389,25 +396,25 @@
     fleet.operator(Event::Promote(ConfigNumber(1))).unwrap();
     fleet.run(2);
     assert_eq!((fleet.counts().in_force, fleet.counts().silent), (30, 10));
-    // They are back after minutes, and take what is newest.
+    // They are back after minutes, and apply the newest configuration.
     fleet.run(180);
-    fleet.processes.iter_mut().for_each(|process| process.cut_until = Duration::ZERO);
+    fleet.processes.iter_mut().for_each(|process| process.partitioned_until = Duration::ZERO);
     fleet.run(2);
     assert_eq!((fleet.counts().in_force, fleet.rollout().phase), (40, Phase::Complete));
 }
 
 #[test]
-fn what_waits_does_not_wait_for_those_that_can_not_be_reached() {
+fn a_pending_change_does_not_wait_for_unreachable_sidecars() {
     let mut fleet = Fleet::new(6, 40, |_| None);
     for process in fleet.processes.iter_mut().filter(|process| process.zone == "c") {
-        process.cut_until = Duration::MAX;
+        process.partitioned_until = Duration::MAX;
     }
     fleet.propose_to(Canary { zones: vec!["b".to_owned()], per_mille: 0 }, "debug");
     fleet.run(30);
     assert_eq!(
         (fleet.rollout().phase, fleet.counts().silent),
         (Phase::All, 10),
-        "it is not said to be complete"
+        "it does not count as complete"
     );
     fleet.propose_to(Canary { zones: vec!["b".to_owned()], per_mille: 0 }, "warn");
     fleet.run(10);
--- a/crates/rollout/tests/reports.rs
+++ b/crates/rollout/tests/reports.rs
@@ -1,15 +1,15 @@
-//! Reports one by one: which are taken, how many, and what they say of the sidecars; and calls by zone.
+//! Which reports are stored, how many, and what follows from them; and the outcomes of calls by zone.
 
 use curlewhub_control_plane::configuration::{Canary, ConfigNumber, ConfigReport, Refusal};
 use curlewhub_control_plane::evidence::{CallOutcome, CallRecorder, Evidence, MAX_SIDECARS};
 use curlewhub_control_plane::protocol::PeerId;
 use curlewhub_rollout::coordinator::{CallOutcomes, Outcomes};
-use curlewhub_rollout::reports::{FRESH, NotTaken, Reports, Standing};
+use curlewhub_rollout::reports::{MAX_REPORT_AGE, ReportRejection, Reports, Standing};
 use std::time::Duration;
 
 const NOW: Duration = Duration::from_secs(100);
 
-fn who(name: &str, incarnation: u64) -> PeerId {
+fn peer(name: &str, incarnation: u64) -> PeerId {
     PeerId { name: name.to_owned(), incarnation }
 }
 
@@ -19,9 +19,9 @@
 }
 
 #[test]
-fn a_report_that_was_overtaken_is_not_taken_and_one_of_a_process_that_forgot_is() {
+fn overtaken_reports_are_dropped_unless_the_sidecar_was_silent() {
     let mut reports = Reports::default();
-    // Start, in force, refused; whether it is taken, and how the sidecar stands towards 7 then.
+    // Incarnation, in force, refused; whether the report is stored, and the sidecar's standing towards 7 then.
     let behind = |number| Standing::Behind(ConfigNumber(number));
     let refused = Standing::Refused("unknown".to_owned());
     let cases = [
@@ -34,46 +34,49 @@
         (2, 7, None, true, Standing::InForce),
         (1, 9, None, false, Standing::InForce),
     ];
-    for (n, (incarnation, in_force, refused, taken, stands)) in cases.into_iter().enumerate() {
-        let heard = reports.heard(NOW, &who("s", incarnation), report(in_force, refused));
-        assert_eq!(heard.is_ok(), taken, "{n}");
-        assert_eq!(reports.standing(NOW, "s", ConfigNumber(7)), stands, "{n}");
+    for (n, (incarnation, in_force, refused, is_stored, standing)) in cases.into_iter().enumerate() {
+        let recorded = reports.record(NOW, &peer("s", incarnation), report(in_force, refused));
+        assert_eq!(recorded.is_ok(), is_stored, "{n}");
+        assert_eq!(reports.standing(NOW, "s", ConfigNumber(7)), standing, "{n}");
     }
-    let later = NOW + FRESH + Duration::from_millis(1);
+    let later = NOW + MAX_REPORT_AGE + Duration::from_millis(1);
     assert_eq!(reports.standing(later, "s", ConfigNumber(7)), Standing::Silent);
-    assert_eq!(reports.heard(later, &who("s", 1), report(7, None)), Ok(()), "its clock went back");
+    assert_eq!(reports.record(later, &peer("s", 1), report(7, None)), Ok(()), "its clock went back");
     let why = Refusal { number: ConfigNumber(8), why: "z".repeat(201) };
     let long = ConfigReport { refused: Some(why), ..report(1, None) };
-    assert_eq!(reports.heard(NOW, &who("t", 1), long), Err(NotTaken::TooLong));
+    assert_eq!(reports.record(NOW, &peer("t", 1), long), Err(ReportRejection::TooLong));
 }
 
 #[test]
-fn reports_are_bounded_and_make_room_by_those_that_say_nothing_any_more() {
+fn stored_reports_are_bounded_and_stale_ones_are_evicted() {
     let mut reports = Reports::default();
     for n in 0..MAX_SIDECARS {
-        reports.heard(NOW, &who(&n.to_string(), 1), report(1, None)).unwrap();
+        reports.record(NOW, &peer(&n.to_string(), 1), report(1, None)).unwrap();
     }
-    assert_eq!(reports.heard(NOW, &who("more", 1), report(1, None)), Err(NotTaken::NoRoom));
-    assert_eq!(reports.heard(NOW, &who("0", 1), report(2, None)), Ok(()), "one that is known");
-    assert_eq!(reports.heard(NOW + FRESH * 2, &who("more", 1), report(1, None)), Ok(()));
+    assert_eq!(
+        reports.record(NOW, &peer("more", 1), report(1, None)),
+        Err(ReportRejection::TooManySidecars)
+    );
+    assert_eq!(reports.record(NOW, &peer("0", 1), report(2, None)), Ok(()), "one that is known");
+    assert_eq!(reports.record(NOW + MAX_REPORT_AGE * 2, &peer("more", 1), report(1, None)), Ok(()));
 }
 
 #[test]
-fn calls_count_by_the_zone_that_they_came_from() {
+fn calls_are_counted_by_their_zone_of_origin() {
     let mut evidence = Evidence::default();
-    for (zone, ended) in
+    for (zone, outcome) in
         [("a", CallOutcome::Served), ("b", CallOutcome::Failed), ("c", CallOutcome::Unreachable)]
     {
-        let mut witness = CallRecorder::new(zone, vec!["a".to_owned()]);
+        let mut recorder = CallRecorder::new(zone, vec!["a".to_owned()]);
         for call in 0..10 {
-            witness.call_started(NOW, (call, 0), 0, 0);
-            witness.call_finished((call, 0), ended, Duration::from_millis(5));
+            recorder.call_started(NOW, (call, 0), 0, 0);
+            recorder.call_finished((call, 0), outcome, Duration::from_millis(5));
         }
-        let digest = witness.take_digest(NOW + Duration::from_secs(1), None).unwrap();
-        evidence.record(NOW, &who(zone, 1), &digest).unwrap();
+        let digest = recorder.take_digest(NOW + Duration::from_secs(1), None).unwrap();
+        evidence.record(NOW, &peer(zone, 1), &digest).unwrap();
     }
     let canary = Canary { zones: vec!["b".to_owned()], per_mille: 0 };
     let outcomes = Outcomes::of(&evidence, &canary, NOW);
-    assert_eq!(outcomes.canary, CallOutcomes { known: 10, failed: 10 });
-    assert_eq!(outcomes.rest, CallOutcomes { known: 20, failed: 10 });
+    assert_eq!(outcomes.canary, CallOutcomes { total: 10, failed: 10 });
+    assert_eq!(outcomes.others, CallOutcomes { total: 20, failed: 10 });
 }
--- a/crates/rollout/tests/steps.rs
+++ b/crates/rollout/tests/steps.rs
@@ -1,10 +1,10 @@
-//! The steps of a rollout one by one: what each leads to, what is refused, and what a change may hold.
+//! Single steps of a rollout: which state each event leads to, which events are rejected, and which settings are valid.
 
 use curlewhub_control_plane::configuration::{
     Canary, ConfigNumber, MAX_SETTINGS_BYTES, RolloutPlan, SettingValues, Settings,
 };
 use curlewhub_rollout::canary::{Sidecar, includes};
-use curlewhub_rollout::rollout::{Event, Phase, Refused, Rollout};
+use curlewhub_rollout::rollout::{Event, EventRejection, Phase, Rollout};
 use curlewhub_rollout::settings;
 use curlewhub_rollout::subscriber::Subscriber;
 use proptest::prelude::*;
@@ -27,19 +27,19 @@
 }
 
 #[test]
-fn of_two_operators_at_once_the_second_is_refused_and_told_what_is_newest() {
+fn of_two_concurrent_proposals_the_second_is_rejected_with_the_newest_number() {
     let first = after([propose(0, "debug")]);
     let refused = first.step(propose(0, "warn")).unwrap_err();
-    assert_eq!(refused, Refused::Base { base: ConfigNumber(0), newest: ConfigNumber(1) });
+    assert_eq!(refused, EventRejection::OutdatedBase { base: ConfigNumber(0), newest: ConfigNumber(1) });
     assert!(refused.to_string().contains("made from configuration 0, and the newest is 1"), "{refused}");
 }
 
 #[test]
-fn changes_under_way_coalesce_into_one_that_waits_and_goes_with_a_rollback() {
+fn proposals_during_a_rollout_coalesce_and_are_dropped_by_a_rollback() {
     let busy = after([propose(0, "debug"), propose(1, "warn"), propose(2, "error")]);
     assert_eq!((busy.target.number, busy.newest), (ConfigNumber(1), ConfigNumber(3)));
     assert_eq!(busy.newest_settings(), &level("error"));
-    let next = [Event::Promote(ConfigNumber(1)), Event::Reached(ConfigNumber(1))];
+    let next = [Event::Promote(ConfigNumber(1)), Event::Completed(ConfigNumber(1))];
     let next = next.into_iter().fold(busy.clone(), |rollout, event| rollout.step(event).unwrap());
     assert_eq!((next.target.number, &next.phase), (ConfigNumber(3), &Phase::Canary));
     assert_eq!((next.base.number, &next.pending), (ConfigNumber(1), &None));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn what_can_not_happen_now_is_refused() {
+fn events_of_another_phase_or_number_are_rejected() {
     let one = ConfigNumber(1);
     let halted = after([propose(0, "debug"), Event::Halt(one, "wait".to_owned())]);
     let all = after([propose(0, "debug"), Event::Promote(one)]);
@@ -60,7 +60,7 @@
         (&all, Event::Promote(one), "only a canary is promoted"),
         (&all, Event::Promote(ConfigNumber(7)), "7 is not being spread; 1 is"),
         (&back, Event::Rollback(ConfigNumber(2), String::new()), "propose what you want"),
-        (&halted, Event::Reached(one), "does not go to all"),
+        (&halted, Event::Completed(one), "does not go to all"),
     ];
     for (rollout, event, wanted) in cases {
         let refused = rollout.step(event.clone()).unwrap_err().to_string();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn all_that_is_wrong_with_a_change_is_said_at_once() {
+fn all_problems_of_a_change_are_reported_at_once() {
     let wrong = [
         ("log.level", "loud"),
         ("log.per_second", "0"),
@@ -96,14 +96,14 @@
         (everywhere(long), "4105 bytes"),
         (zone, "log.level in zone b: `loud` is out of range"),
     ] {
-        let said = settings::listed(&settings::problems(&settings));
-        assert!(said.contains(wanted), "{wanted}: {said}");
+        let text = settings::listed(&settings::problems(&settings));
+        assert!(text.contains(wanted), "{wanted}: {text}");
     }
     assert_eq!(settings::problems(&level("info,curlewhub_runtime=debug")), []);
 }
 
 #[test]
-fn a_zone_has_what_is_set_for_it_over_what_is_set_everywhere() {
+fn settings_of_a_zone_override_those_of_the_fleet() {
     let mut settings = level("warn");
     settings.part_mut(Some("b")).insert("log.level".to_owned(), "debug".to_owned());
     let rollout = Rollout::default();
@@ -111,17 +111,17 @@
     let rollout = rollout.step(Event::Propose { base: ConfigNumber(0), settings, plan }).unwrap();
     for (zone, wanted) in [("a", "warn"), ("b", "debug"), ("", "warn")] {
         let mut subscriber = Subscriber::new("s", zone);
-        let mut taken = None;
+        let mut applied = None;
         subscriber.decided(&rollout, |number, values| {
-            taken = Some((number, values["log.level"].clone()));
+            applied = Some((number, values["log.level"].clone()));
             Ok(())
         });
-        assert_eq!(taken, Some((ConfigNumber(1), wanted.to_owned())), "{zone}");
+        assert_eq!(applied, Some((ConfigNumber(1), wanted.to_owned())), "{zone}");
     }
 }
 
 #[test]
-fn a_drawn_canary_is_about_as_large_as_it_says_and_another_one_each_time() {
+fn a_sampled_canary_has_about_the_stated_size_and_differs_by_number() {
     let canary = Canary { zones: vec!["b".to_owned()], per_mille: 100 };
     let names: Vec<String> = (0..2000).map(|n| format!("sidecar-{n}")).collect();
     let drawn = |number, zone| {
@@ -130,7 +130,7 @@
     };
     // 200 expected with a deviation of 13; the draw is fixed.
     assert!((150..250).contains(&drawn(1, "a")), "{}", drawn(1, "a"));
-    assert_eq!(drawn(1, "b"), 2000, "all of a zone that is named");
+    assert_eq!(drawn(1, "b"), 2000, "all sidecars of a named zone");
     let in_it = |number, name: &str| includes(&canary, ConfigNumber(number), Sidecar { name, zone: "a" });
     assert!(names.iter().any(|name| in_it(1, name) != in_it(2, name)));
 }
@@ -141,31 +141,31 @@
 
 proptest! {
     #[test]
-    fn numbers_only_rise_each_has_one_content_and_what_spreads_can_be_rolled_back(
+    fn numbers_only_rise_and_have_one_content_and_any_target_can_be_rolled_back(
         events in proptest::collection::vec(any_event(), 1..60),
     ) {
         let levels = ["error", "warn", "info", "debug", "trace"];
         let mut rollout = Rollout::default();
         let mut contents = std::collections::BTreeMap::from([(ConfigNumber(0), Settings::default())]);
         for (kind, draw) in events {
-            // Mostly about what is being spread, and sometimes about something else.
+            // Most events concern the target; some concern number 0.
             let number = if draw == 0 { ConfigNumber(draw) } else { rollout.target.number };
             let event = match kind {
                 0 => propose(if draw == 0 { 0 } else { rollout.newest.0 }, levels[draw as usize % 5]),
                 1 => Event::Promote(number),
                 2 => Event::Halt(number, "why".to_owned()),
                 3 => Event::Rollback(number, "why".to_owned()),
-                _ => Event::Reached(number),
+                _ => Event::Completed(number),
             };
             let Ok(next) = rollout.step(event) else { continue };
-            prop_assert!(next.is_sound() && next.newest >= rollout.newest);
+            prop_assert!(next.is_consistent() && next.newest >= rollout.newest);
             prop_assert!(next.target.number >= rollout.target.number);
             for content in [&next.base, &next.target].into_iter().chain(next.pending.as_ref().map(|p| &p.content)) {
                 let known = contents.entry(content.number).or_insert_with(|| content.settings.clone());
                 prop_assert_eq!(&*known, &content.settings);
             }
-            let goes_back = matches!(next.phase, Phase::RollingBack { .. } | Phase::RolledBack { .. });
-            if !goes_back {
+            let is_rollback = matches!(next.phase, Phase::RollingBack { .. } | Phase::RolledBack { .. });
+            if !is_rollback {
                 let back = next.step(Event::Rollback(next.target.number, "harm".to_owned())).unwrap();
                 prop_assert_eq!(&back.target.settings, &next.base.settings);
             }
