--- a/crates/keys/src/clock.rs
+++ b/crates/keys/src/clock.rs
@@ -9,9 +9,9 @@
 use zerocopy::little_endian::{U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
-/// Two processes whose machine has slept for times that differ by more than this are not compared: the clock of a
-/// process stands still while the machine sleeps. The two clocks are read one after the other, so some tolerance is
-/// needed.
+/// Two processes are not compared if the machine was suspended between their starts for more than this: the monotonic
+/// clock of a process stands still during a suspension. Its two clocks are read one after the other, so that some
+/// tolerance is needed.
 const MAX_SUSPENDED_DIFFERENCE_MS: u32 = 100;
 
 /// One moment at the start of a process, on its own clock and on that of the boot.
@@ -19,15 +19,15 @@
 pub struct ClockAnchor {
     /// The hash of the boot's id.
     pub boot: u64,
-    /// The moment in Unix time, as this process takes it.
+    /// The moment in Unix time, by the wall clock that the process read at its start.
     pub unix: Duration,
     /// The moment on the clock of the boot, `CLOCK_BOOTTIME`.
     pub since_boot: Duration,
-    /// For how long the machine had slept by then, in milliseconds, modulo 2^32.
+    /// For how long the machine had been suspended since its boot, in milliseconds modulo 2^32.
     pub suspended_ms: u32,
 }
 
-/// The bytes of an anchor, outside a journal.
+/// The binary form of an anchor outside of journals, as it is appended to snapshots.
 #[derive(FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned)]
 #[repr(C)]
 struct AnchorBytes {
@@ -41,14 +41,15 @@
 const ANCHOR_MAGIC: u32 = u32::from_le_bytes(*b"CLKA");
 
 impl ClockAnchor {
-    /// An anchor of the boot of this id. `monotonic` is the moment on `CLOCK_MONOTONIC`.
+    /// An anchor in the boot with this id; `monotonic` is the same moment on `CLOCK_MONOTONIC`.
     pub fn new(boot_id: &[u8], unix: Duration, since_boot: Duration, monotonic: Duration) -> ClockAnchor {
         let suspended_ms = since_boot.saturating_sub(monotonic).as_millis() as u32;
         ClockAnchor { boot: xxh3_64(boot_id), unix, since_boot, suspended_ms }
     }
 
     /// What has to be added to a time of another process, in microseconds, to get the same moment on the clock of this
-    /// process. None if the two can't be compared: they belong to different boots, or the machine slept in between.
+    /// process. None if the two can't be compared, because they belong to different boots or the machine was suspended in
+    /// between.
     pub fn correction_micros(&self, other: &ClockAnchor) -> Option<i64> {
         let forward = self.suspended_ms.wrapping_sub(other.suspended_ms);
         let difference = forward.min(forward.wrapping_neg());
@@ -60,7 +61,7 @@
         i64::try_from(offset(self) - offset(other)).ok()
     }
 
-    /// The bytes of the anchor.
+    /// Encodes the anchor.
     pub fn to_bytes(&self) -> Vec<u8> {
         AnchorBytes {
             magic: ANCHOR_MAGIC.into(),
@@ -73,19 +74,19 @@
         .to_vec()
     }
 
-    /// The anchor of these bytes; none if they are not those of an anchor.
+    /// Decodes an anchor; none if the bytes are not those of one.
     pub fn from_bytes(bytes: &[u8]) -> Option<ClockAnchor> {
-        let read = AnchorBytes::ref_from_bytes(bytes).ok()?;
-        (read.magic.get() == ANCHOR_MAGIC).then(|| ClockAnchor {
-            boot: read.boot.get(),
-            unix: Duration::from_micros(read.unix_micros.get()),
-            since_boot: Duration::from_micros(read.since_boot_micros.get()),
-            suspended_ms: read.suspended_ms.get(),
+        let fields = AnchorBytes::ref_from_bytes(bytes).ok()?;
+        (fields.magic.get() == ANCHOR_MAGIC).then(|| ClockAnchor {
+            boot: fields.boot.get(),
+            unix: Duration::from_micros(fields.unix_micros.get()),
+            since_boot: Duration::from_micros(fields.since_boot_micros.get()),
+            suspended_ms: fields.suspended_ms.get(),
         })
     }
 }
 
-/// A time moved by this many microseconds; zero if it would be before Unix time began.
+/// A Unix time shifted by this many microseconds; zero if the result would be negative.
 pub fn shift(time: Duration, micros: i64) -> Duration {
     let by = Duration::from_micros(micros.unsigned_abs());
     if micros < 0 { time.saturating_sub(by) } else { time.saturating_add(by) }
--- a/crates/keys/src/journal.rs
+++ b/crates/keys/src/journal.rs
@@ -1,4 +1,7 @@
-//! The journal of this process, and the journals that other processes of the same sidecar have left.
+//! Journal files: the one that this process writes, and those that other processes of the same sidecar have left.
+//!
+//! The memory of the process is the truth, and the file follows it. A write that fails (`ENOSPC`, `EIO`) leaves its slot
+//! dirty, and the slot's newest value is written later; a request never waits for that.
 
 use crate::clock::{ClockAnchor, shift};
 use crate::memory::{Entry, SlotWrite};
@@ -13,83 +16,82 @@
 use std::time::{Duration, SystemTime};
 use thiserror::Error;
 
-/// What could not be written is tried again this often. A client repeats a request that its sidecar lost within seconds;
-/// what is owed has to be in the file by then.
+/// How often failed writes are retried. A client repeats a request that its sidecar lost within seconds; dirty slots have
+/// to be in the file by then.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// The most owed slots that are written together with a new one, on a request's path: a page of 4 KiB of them.
-const SLOTS_WITH_A_WRITE: usize = 4096 / SLOT_BYTES;
-/// The most owed slots that one retry writes: 640 KiB of page cache, which takes well under a millisecond.
-const SLOTS_WITH_A_RETRY: usize = 16_384;
+/// How many dirty slots are written along with a new one, while a request waits: a page of 4 KiB.
+const MAX_DIRTY_SLOTS_PER_WRITE: usize = 4096 / SLOT_BYTES;
+/// How many dirty slots one retry writes: 640 KiB of page cache, which takes well under a millisecond.
+const MAX_DIRTY_SLOTS_PER_RETRY: usize = 16_384;
 
-/// The journal of this process: a file of slots.
+/// The journal file of this process: a header and fixed-size slots. It is locked for as long as the process runs.
 #[derive(Debug)]
 pub struct Journal {
     file: File,
     path: PathBuf,
-    /// Slots in front of those of keys: one if the file begins with the clock of the process.
+    /// The number of slots before those of keys: 1 if the file starts with the process's [`ClockAnchor`], else 0.
     first_slot: usize,
 }
 
-/// Where the journals of one sidecar are.
+/// Where the journals of one sidecar are stored, and the numbering of zones that they use.
 #[derive(Clone, Debug)]
 pub struct JournalFolder {
     /// The folder.
     pub folder: PathBuf,
-    /// The name of the sidecar.
+    /// The name of the sidecar, a part of the files' names.
     pub sidecar: String,
     /// See [`crate::zones_hash`].
     pub zones_hash: u64,
 }
 
-/// The journal of this process over all that the disk does: what could not be written is owed, and written later.
+/// The journal of this process on a disk that may fail: slots that could not be written stay dirty and are retried.
 #[derive(Debug)]
-pub struct OwnJournal {
-    place: JournalFolder,
+pub struct RetryingJournal {
+    location: JournalFolder,
     anchor: Option<ClockAnchor>,
-    /// The time of its start, for the name of the file.
+    /// The start of the process in Unix time, a part of the file's name.
     started: Duration,
-    /// None while the file can't be created.
+    /// The file; none as long as it could not be created.
     journal: Option<Journal>,
-    /// Not before this time the file is tried again: it takes several system calls.
-    create_at: Duration,
-    /// What each slot has to hold that could not be written. At most one value a slot, so no more than
-    /// [`crate::MAX_KEYS`].
-    owed: BTreeMap<u32, Option<Entry>>,
+    /// The earliest time of the next attempt to create the file, which takes several system calls.
+    next_create_at: Duration,
+    /// The values of slots that are not in the file yet: one for each slot, so up to [`crate::MAX_KEYS`].
+    dirty_slots: BTreeMap<u32, Option<Entry>>,
 }
 
-/// The files of other processes of the same sidecar, running or not.
+/// The journal files of other processes of the same sidecar, whether these still run or not.
 #[derive(Debug)]
-pub struct Others {
+pub struct OtherJournals {
     folder: PathBuf,
-    /// The prefix of their names.
+    /// The prefix of the files' names.
     prefix: String,
-    /// The journal of this process, which is left out.
+    /// The path of this process's journal, which is left out.
     own: PathBuf,
     zones_hash: u64,
 }
 
 impl Journal {
-    /// A new file in this folder for the sidecar of this name. Each process has its own file, named by its start time:
-    /// process ids are reused.
+    /// Creates a new file in this folder for the sidecar of this name. Each process has a file of its own, named by its
+    /// start time, as process ids are reused.
     ///
     /// # Errors
-    /// The file can't be created.
+    /// Returns why the file can't be created.
     pub fn create(folder: &Path, sidecar: &str, started: Duration, zones_hash: u64) -> io::Result<Journal> {
-        let place = JournalFolder { folder: folder.to_owned(), sidecar: sidecar.to_owned(), zones_hash };
-        let path = place.path(started);
+        let location = JournalFolder { folder: folder.to_owned(), sidecar: sidecar.to_owned(), zones_hash };
+        let path = location.path(started);
         let file = File::create_new(&path)?;
-        Journal::begin(file, path, zones_hash, None)
+        Journal::initialize(file, path, zones_hash, None)
     }
 
-    /// Writes the header, and the clock of the process.
-    fn begin(
+    /// Locks the file and writes its header and the process's anchor.
+    fn initialize(
         file: File,
         path: PathBuf,
         zones_hash: u64,
         anchor: Option<&ClockAnchor>,
     ) -> io::Result<Journal> {
-        // Held until the process ends: so others see that it lives, whatever the time of the file says. Where files
-        // can't be locked they see that as well, and go by the time.
+        // The kernel releases the lock as the process ends, so other processes see that it is alive whatever the file's
+        // modification time is. Where the file system has no locks they go by the modification time.
         if let Err(TryLockError::WouldBlock) = file.try_lock() {
             return Err(io::ErrorKind::AlreadyExists.into());
         }
@@ -98,7 +100,7 @@
         match file.write_all_at(&bytes, 0) {
             Ok(()) => Ok(Journal { file, path, first_slot: usize::from(anchor.is_some()) }),
             Err(error) => {
-                let _ = std::fs::remove_file(&path); // if that fails the next attempt uses the file
+                let _ = std::fs::remove_file(&path); // if it stays, the next attempt uses it
                 Err(error)
             }
         }
@@ -109,102 +111,113 @@
         &self.path
     }
 
-    /// Writes one slot. Once this returns, the slot survives a crash of the process, but not of the machine: the file is
-    /// not synced, because a machine that crashes loses its connections to clients as well.
+    /// Writes one slot. It then survives a crash of the process, but not of the machine: the file is not synced, because
+    /// a machine that crashes loses its connections to clients as well.
     ///
     /// # Errors
-    /// The slot can't be written.
+    /// Returns why the slot could not be written, or only a part of it.
     pub fn write(&self, write: &SlotWrite) -> io::Result<()> {
         self.write_slots(write.slot, &encode(write.entry.as_ref()))
     }
 
-    /// Writes the bytes of this slot and of those that follow it.
+    /// Writes the encoded values of consecutive slots, starting with `slot`.
     fn write_slots(&self, slot: u32, bytes: &[u8]) -> io::Result<()> {
         let offset = HEADER_BYTES + SLOT_BYTES * (self.first_slot + slot as usize);
         self.file.write_all_at(bytes, offset as u64)
     }
 }
 
-impl OwnJournal {
-    /// The journal of this process, and why it could not be created yet.
+impl RetryingJournal {
+    /// Creates the journal of this process. If that fails, the error is returned beside a journal that retries.
     pub fn open(
-        place: JournalFolder,
+        location: JournalFolder,
         now: Duration,
         anchor: Option<ClockAnchor>,
-    ) -> (OwnJournal, Option<io::Error>) {
-        let (started, create_at) = (now, now);
-        let mut own =
-            OwnJournal { place, anchor, started, journal: None, create_at, owed: BTreeMap::new() };
-        let problem = own.create(now).err();
-        (own, problem)
+    ) -> (RetryingJournal, Option<io::Error>) {
+        let mut journal = RetryingJournal {
+            location,
+            anchor,
+            started: now,
+            journal: None,
+            next_create_at: now,
+            dirty_slots: BTreeMap::new(),
+        };
+        let problem = journal.create(now).err();
+        (journal, problem)
     }
 
-    /// The path of the file, be it there or not yet.
+    /// The path of the file, whether it has been created or not.
     pub fn path(&self) -> PathBuf {
-        self.place.path(self.started)
+        self.location.path(self.started)
+    }
+
+    /// Whether [`RetryingJournal::retry`] has something to do.
+    pub fn needs_retry(&self) -> bool {
+        self.journal.is_none() || !self.dirty_slots.is_empty()
     }
 
-    /// Whether something has to be retried.
+    /// The old name of [`RetryingJournal::needs_retry`], until `runtime` uses the new one.
     pub fn is_owing(&self) -> bool {
-        self.journal.is_none() || !self.owed.is_empty()
+        self.needs_retry()
     }
 
-    /// The number of slots that could not be written.
-    pub fn owed(&self) -> usize {
-        self.owed.len()
+    /// The number of slots that are not in the file yet.
+    pub fn dirty_slots(&self) -> usize {
+        self.dirty_slots.len()
     }
 
-    /// Writes one slot, and some of those that are owed. What can't be written is owed from now on.
+    /// Writes one slot, and then some of the dirty ones.
     ///
     /// # Errors
-    /// This slot can't be written now.
+    /// Returns why this slot could not be written. It is dirty then and will be retried.
     pub fn write(&mut self, now: Duration, write: &SlotWrite) -> io::Result<()> {
-        // In front of the attempt: whatever part of the slot is written, it is owed until all of it is.
-        self.owed.insert(write.slot, write.entry);
+        // Dirty before the attempt, so that a slot of which only a part is written is retried.
+        self.dirty_slots.insert(write.slot, write.entry);
         self.create(now)?;
         let Some(journal) = &self.journal else { return Ok(()) };
         journal.write(write)?;
-        self.owed.remove(&write.slot);
-        // An error here concerns another slot, which stays owed.
-        let _ = self.write_owed(SLOTS_WITH_A_WRITE);
+        self.dirty_slots.remove(&write.slot);
+        // An error here concerns another slot, which stays dirty.
+        let _ = self.write_dirty_slots(MAX_DIRTY_SLOTS_PER_WRITE);
         Ok(())
     }
 
-    /// Creates the file if that was not possible until now, and writes slots that are owed.
+    /// Creates the file if it does not exist yet, and writes dirty slots.
     ///
     /// # Errors
-    /// It is still not possible.
+    /// Returns why that still fails.
     pub fn retry(&mut self, now: Duration) -> io::Result<()> {
         self.create(now)?;
-        self.write_owed(SLOTS_WITH_A_RETRY)
+        self.write_dirty_slots(MAX_DIRTY_SLOTS_PER_RETRY)
     }
 
     fn create(&mut self, now: Duration) -> io::Result<()> {
         if self.journal.is_some() {
             return Ok(());
         }
-        if now < self.create_at {
+        if now < self.next_create_at {
             return Err(io::Error::other("the file could not be created a moment ago"));
         }
-        self.create_at = now + RETRY_INTERVAL;
-        let path = self.place.path(self.started);
-        // Left by an earlier attempt, if there is one: so attempts leave one file at the most.
+        self.next_create_at = now + RETRY_INTERVAL;
+        let path = self.location.path(self.started);
+        // Uses the file of an earlier failed attempt, if there is one, so that attempts do not leave several.
         let file = File::options().write(true).create(true).truncate(false).open(&path)?;
-        self.journal = Some(Journal::begin(file, path, self.place.zones_hash, self.anchor.as_ref())?);
+        self.journal =
+            Some(Journal::initialize(file, path, self.location.zones_hash, self.anchor.as_ref())?);
         Ok(())
     }
 
-    /// Writes so many owed slots at the most, consecutive ones together.
-    fn write_owed(&mut self, limit: usize) -> io::Result<()> {
+    /// Writes up to `limit` dirty slots, consecutive ones with one system call.
+    fn write_dirty_slots(&mut self, limit: usize) -> io::Result<()> {
         let Some(journal) = &self.journal else { return Ok(()) };
         let mut left = limit;
-        while let Some(first) = self.owed.keys().next().copied().filter(|_| left > 0) {
-            let run = self.owed.range(first..).take(left).zip(first..);
+        while let Some(first) = self.dirty_slots.keys().next().copied().filter(|_| left > 0) {
+            let run = self.dirty_slots.range(first..).take(left).zip(first..);
             let run = run.take_while(|((slot, _), expected)| *slot == expected);
             let bytes: Vec<[u8; SLOT_BYTES]> = run.map(|((_, entry), _)| encode(entry.as_ref())).collect();
             journal.write_slots(first, bytes.as_flattened())?;
             for slot in (first..).take(bytes.len()) {
-                self.owed.remove(&slot);
+                self.dirty_slots.remove(&slot);
             }
             left -= bytes.len();
         }
@@ -222,33 +235,33 @@
     format!("curlewhub-keys-{sidecar}-")
 }
 
-impl Others {
-    /// The journals in this folder except this process's own.
-    pub fn new(folder: &Path, sidecar: &str, own: Option<&Journal>, zones_hash: u64) -> Others {
+impl OtherJournals {
+    /// The journals in this folder except `own`.
+    pub fn new(folder: &Path, sidecar: &str, own: Option<&Journal>, zones_hash: u64) -> OtherJournals {
         let own = own.map(|journal| journal.path.clone()).unwrap_or_default();
-        Others { folder: folder.to_owned(), prefix: prefix(sidecar), own, zones_hash }
+        OtherJournals { folder: folder.to_owned(), prefix: prefix(sidecar), own, zones_hash }
     }
 
-    /// The journal of this process is another one from now on.
+    /// Leaves out the journal at this path from now on, as it is this process's own.
     pub fn set_own(&mut self, own: &Path) {
         self.own = own.to_owned();
     }
 
-    /// Reads all entries. Also returns what could not be read, one message a file.
+    /// Reads all entries. Also returns one message for each file that could not be read in full.
     pub fn read(&self) -> (Vec<Entry>, Vec<String>) {
         self.read_on(None)
     }
 
-    /// Reads all entries, with their times on the clock of this anchor where the two clocks can be compared, and as
-    /// they were written where they can't.
+    /// As [`OtherJournals::read`], with times converted to the clock of this anchor. Where the clock of a file can't be
+    /// compared with it, times stay as they were written.
     pub fn read_on(&self, clock: Option<&ClockAnchor>) -> (Vec<Entry>, Vec<String>) {
         let (mut entries, mut problems) = (Vec::new(), Vec::new());
         for path in self.paths() {
             match read_file(&path, self.zones_hash) {
                 Ok(contents) => {
                     let correction = correction(clock, &contents).unwrap_or_default();
-                    let moved = |entry: Entry| Entry { sent: shift(entry.sent, correction), ..entry };
-                    entries.extend(contents.entries.into_iter().map(moved));
+                    let corrected = |entry: Entry| Entry { sent: shift(entry.sent, correction), ..entry };
+                    entries.extend(contents.entries.into_iter().map(corrected));
                     if contents.corrupt > 0 {
                         problems.push(format!(
                             "{}: {} records are corrupt",
@@ -263,28 +276,32 @@
         (entries, problems)
     }
 
-    /// Removes files that nobody has written for this long, and returns how many.
-    pub fn clear(&self, unwritten: Duration) -> usize {
-        self.clear_on(unwritten, None)
+    /// Removes files of ended processes that were not written for `retention` by the wall clock. Returns their number.
+    /// Where the file system has no locks, every process counts as ended.
+    pub fn clear(&self, retention: Duration) -> usize {
+        self.clear_on(retention, None)
     }
 
-    /// Removes files of processes that have ended and whose keys are over, and returns how many. Time is that of this
-    /// clock, `now` on it. Where the clocks can't be compared, files are removed that nobody has written for this long
-    /// by the wall clock.
-    pub fn clear_on(&self, unwritten: Duration, clock: Option<(&ClockAnchor, Duration)>) -> usize {
+    /// Removes files of ended processes whose newest entry was sent more than `retention` before `now`, both on the clock
+    /// of the given anchor. A file without entries counts from the start of its process. Where the clocks can't be compared, the file's modification time counts. Returns the number of
+    /// files removed.
+    pub fn clear_on(&self, retention: Duration, clock: Option<(&ClockAnchor, Duration)>) -> usize {
         let removable = |path: &PathBuf| match File::open(path).map(|file| file.try_lock()) {
-            Ok(Err(TryLockError::WouldBlock)) => false, // its process lives
-            Ok(Ok(())) => self.is_over(path, unwritten, clock).unwrap_or_else(|| is_old(path, unwritten)),
-            Ok(Err(TryLockError::Error(_))) | Err(_) => is_old(path, unwritten),
+            Ok(Err(TryLockError::WouldBlock)) => false, // its process is alive
+            Ok(Ok(())) => {
+                self.is_expired(path, retention, clock).unwrap_or_else(|| is_unmodified(path, retention))
+            }
+            Ok(Err(TryLockError::Error(_))) | Err(_) => is_unmodified(path, retention),
         };
         self.paths().into_iter().filter(removable).filter(|path| std::fs::remove_file(path).is_ok()).count()
     }
 
-    /// Whether all that is in the file has been over for this long; none if that can't be told. The process has ended.
-    fn is_over(
+    /// Whether an ended process sent its newest entry, or started, more than `retention` ago; none if the clocks can't be
+    /// compared.
+    fn is_expired(
         &self,
         path: &Path,
-        unwritten: Duration,
+        retention: Duration,
         clock: Option<(&ClockAnchor, Duration)>,
     ) -> Option<bool> {
         let (anchor, now) = clock?;
@@ -292,31 +309,31 @@
         let correction = correction(Some(anchor), &contents)?;
         let started = contents.anchor.map(|anchor| anchor.unix);
         let last = contents.entries.iter().map(|entry| entry.sent).chain(started).max()?;
-        Some(shift(last, correction).saturating_add(unwritten) < now)
+        Some(shift(last, correction).saturating_add(retention) < now)
     }
 
     fn paths(&self) -> Vec<PathBuf> {
         let listed = std::fs::read_dir(&self.folder).into_iter().flatten().flatten();
-        let ours = |path: &PathBuf| {
+        let is_journal = |path: &PathBuf| {
             let name = path.file_name().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
             *path != self.own && name.starts_with(&self.prefix) && name.ends_with(".bin")
         };
-        let mut paths: Vec<PathBuf> = listed.map(|entry| entry.path()).filter(ours).collect();
+        let mut paths: Vec<PathBuf> = listed.map(|entry| entry.path()).filter(is_journal).collect();
         paths.sort();
         paths
     }
 }
 
-/// What has to be added to the times of this file to have them on this clock.
+/// What has to be added to the times of a file, in microseconds, to convert them to this clock.
 fn correction(clock: Option<&ClockAnchor>, contents: &Contents) -> Option<i64> {
     clock?.correction_micros(contents.anchor.as_ref()?)
 }
 
-/// Whether a file has not been written for this long by the wall clock.
-fn is_old(path: &Path, unwritten: Duration) -> bool {
-    let written = path.metadata().and_then(|meta| meta.modified());
-    // A time ahead of now says that the clock has stepped back: not old, then.
-    written.is_ok_and(|at| SystemTime::now().duration_since(at).is_ok_and(|age| age > unwritten))
+/// Whether a file was not modified for `retention` by the wall clock.
+fn is_unmodified(path: &Path, retention: Duration) -> bool {
+    let modified = path.metadata().and_then(|metadata| metadata.modified());
+    // A time in the future means that the clock has stepped back, so that the age is unknown: the file stays.
+    modified.is_ok_and(|at| SystemTime::now().duration_since(at).is_ok_and(|age| age > retention))
 }
 
 /// Why a journal file could not be read.
@@ -330,7 +347,7 @@
 
 fn read_file(path: &Path, zones_hash: u64) -> Result<Contents, ReadError> {
     let mut bytes = Vec::new();
-    // One byte more than any journal has shows that the file is none.
+    // One byte more than the longest journal is enough to see that the file is too long.
     File::open(path)?.take(MAX_BYTES as u64 + 1).read_to_end(&mut bytes)?;
     Ok(read(&bytes, zones_hash)?)
 }
--- a/crates/keys/src/memory.rs
+++ b/crates/keys/src/memory.rs
@@ -1,29 +1,29 @@
-//! The keys that are remembered, for how long, and in which slot of the journal.
+//! The keys that a process remembers, for how long, and in which slot of the journal each is stored.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// The most keys that are remembered: 65,535, enough for ten thousand a second with windows of six seconds. Beyond that
-/// the oldest are forgotten, and counted. A journal has one slot more, for the clock of its process.
+/// The maximum number of remembered keys: enough for ten thousand a second with windows of six seconds. Beyond that the
+/// oldest are evicted, and counted. A journal has one more slot, for the anchor of its process's clock.
 pub const MAX_KEYS: usize = 65_535;
 
-/// Where a job may have run.
+/// Where and when a job with an idempotency key was first sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Entry {
-    /// The key's hash.
+    /// The key's [`crate::hash`].
     pub key: u64,
-    /// The zone's number.
+    /// The number of the zone that it was sent to.
     pub zone: u32,
-    /// The cell's number.
+    /// The number of the cell that it was sent to.
     pub cell: u64,
-    /// When it was first sent, on the clock of the callers: Unix time.
+    /// When it was first sent, in Unix time by the process's clock.
     pub sent: Duration,
-    /// For how long from then on endpoints drop a repeat.
+    /// For how long after that endpoints drop a repeated key.
     pub window: Duration,
 }
 
 impl Entry {
-    /// Whether endpoints have forgotten the key by now.
+    /// Whether the window has passed, so that endpoints no longer know the key.
     pub fn is_over(&self, now: Duration) -> bool {
         now >= self.sent + self.window
     }
@@ -34,7 +34,7 @@
 pub struct SlotWrite {
     /// The number of the slot, from 0.
     pub slot: u32,
-    /// What it holds from now on; none if it is to be empty.
+    /// The new entry; none if the slot is to be empty.
     pub entry: Option<Entry>,
 }
 
@@ -45,7 +45,7 @@
     entry: Entry,
 }
 
-/// A write of the past: an entry of this key and time went into this slot.
+/// A past write: the entry with this key and time was stored in this slot.
 #[derive(Clone, Copy, Debug)]
 struct PastWrite {
     slot: u32,
@@ -53,11 +53,11 @@
     sent: Duration,
 }
 
-/// The keys that are remembered. The time passed in may step back; an entry then stays longer.
+/// The remembered keys. If the time passed in steps back, entries stay longer.
 #[derive(Debug, Default)]
 pub struct Memory {
     keys: HashMap<u64, Remembered>,
-    /// Past writes, oldest first. Those that were forgotten or overwritten since stay in and are skipped.
+    /// Past writes, oldest first. Those whose slot was forgotten or overwritten since stay in the queue and are skipped.
     writes: VecDeque<PastWrite>,
     free_slots: Vec<u32>,
     slots: u32,
@@ -66,12 +66,12 @@
 }
 
 impl Memory {
-    /// A memory of at most so many keys, up to [`MAX_KEYS`].
+    /// A memory for up to `max_keys` keys, but no more than [`MAX_KEYS`].
     pub fn holding(max_keys: usize) -> Self {
         Memory { max_keys: Some(max_keys.clamp(1, MAX_KEYS)), ..Memory::default() }
     }
 
-    /// The number of keys, including those that are over and not removed yet.
+    /// The number of keys, including expired ones that were not removed yet.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
@@ -81,28 +81,28 @@
         self.keys.is_empty()
     }
 
-    /// The number of keys that were evicted before they were over, because the memory was full.
+    /// The number of keys that were evicted before they expired, because the memory was full.
     pub fn lost(&self) -> u64 {
         self.evicted
     }
 
-    /// Where the job of this key may have run, as long as endpoints remember it.
+    /// The entry of this key, unless it has expired.
     pub fn find(&self, now: Duration, key: u64) -> Option<&Entry> {
         self.keys.get(&key).map(|remembered| &remembered.entry).filter(|entry| !entry.is_over(now))
     }
 
-    /// Remembers a job that is about to be sent, and returns what has to be written first. None if the key is known
-    /// already: its window runs from the first send, whatever follows.
+    /// Remembers a job that is about to be sent, and returns what has to be written to the journal first. None if the key
+    /// is known already: its window starts with the first send.
     pub fn note(&mut self, now: Duration, mut entry: Entry) -> Option<SlotWrite> {
-        entry.sent = entry.sent.min(now); // of a process whose clock was ahead
+        entry.sent = entry.sent.min(now); // entries of other processes may be from a clock that was ahead
         if entry.is_over(now) || self.find(now, entry.key).is_some() {
             return None;
         }
-        // A key that is over keeps its slot.
+        // An expired key keeps its slot.
         let known = self.keys.get(&entry.key).map(|remembered| remembered.slot);
         let slot = known.unwrap_or_else(|| self.take_slot(now));
         if self.writes.len() >= 2 * self.max_keys() {
-            // Keeps the queue bounded, at a small cost per key.
+            // Bounds the queue. Linear, but at most once in `max_keys` writes.
             self.writes.retain(|write| is_current(&self.keys, write));
         }
         self.writes.push_back(PastWrite { slot, key: entry.key, sent: entry.sent });
@@ -110,14 +110,15 @@
         Some(SlotWrite { slot, entry: Some(entry) })
     }
 
-    /// Forgets a key whose job has certainly not run, and will not.
+    /// Forgets a key whose job has certainly not run and will not.
     pub fn forget(&mut self, key: u64) -> Option<SlotWrite> {
         let slot = self.keys.remove(&key)?.slot;
         self.free_slots.push(slot);
         Some(SlotWrite { slot, entry: None })
     }
 
-    /// A slot for one more key: the oldest whose key is over, a free one, a new one, or at last the oldest.
+    /// A slot for one more key: that of the oldest key if it has expired, else a free or new one, and that of the oldest
+    /// key if there is none.
     fn take_slot(&mut self, now: Duration) -> u32 {
         while let Some(&write) = self.writes.front() {
             let remembered = self.keys.get(&write.key).filter(|_| is_current(&self.keys, &write));
@@ -125,14 +126,14 @@
                 self.writes.pop_front();
                 continue;
             };
-            let over = remembered.entry.is_over(now);
+            let is_expired = remembered.entry.is_over(now);
             let has_capacity = !self.free_slots.is_empty() || self.keys.len() < self.max_keys();
-            if !over && has_capacity {
+            if !is_expired && has_capacity {
                 break;
             }
             self.writes.pop_front();
             self.keys.remove(&write.key);
-            self.evicted += u64::from(!over);
+            self.evicted += u64::from(!is_expired);
             return write.slot;
         }
         self.free_slots.pop().unwrap_or_else(|| {
@@ -146,7 +147,7 @@
     }
 }
 
-/// Whether a slot still holds what this write put there.
+/// Whether a slot still contains the entry of this write.
 fn is_current(keys: &HashMap<u64, Remembered>, write: &PastWrite) -> bool {
     keys.get(&write.key)
         .is_some_and(|remembered| remembered.slot == write.slot && remembered.entry.sent == write.sent)
--- a/crates/keys/src/record.rs
+++ b/crates/keys/src/record.rs
@@ -1,4 +1,4 @@
-//! The format of a journal file: a header, and slots of one size.
+//! The format of a journal file: a header, then slots of one size. All numbers are little-endian.
 
 use crate::clock::ClockAnchor;
 use crate::memory::{Entry, MAX_KEYS};
@@ -8,10 +8,10 @@
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
 const MAGIC: u32 = u32::from_le_bytes(*b"CLHK");
-/// The format version that is written and read.
+/// The only format version that is written and read.
 const VERSION: u32 = 1;
 
-/// The header, in front of the slots.
+/// The header of the file.
 #[derive(FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned)]
 #[repr(C)]
 pub(crate) struct Header {
@@ -20,8 +20,8 @@
     zones_hash: U64,
 }
 
-/// One slot. All zeros mean that it is empty. A slot with a window of zero holds no key but the [`ClockAnchor`] of the
-/// process: versions that know of no anchors take it for a key that is over, and skip it.
+/// One slot. An empty slot is all zeros. A slot with a window of zero is no key but the [`ClockAnchor`] of the process:
+/// builds without anchors take it for an expired key and skip it.
 #[derive(FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned)]
 #[repr(C)]
 pub(crate) struct Slot {
@@ -30,7 +30,7 @@
     window_micros: U64,
     cell: U64,
     zone: U32,
-    /// CRC-32 of all fields before: a crash of the machine may tear a record.
+    /// The CRC-32 of all fields before, as a kill or a failing disk may leave a half-written slot.
     checksum: U32,
 }
 
@@ -55,39 +55,40 @@
     }
 }
 
-/// Bytes of the header.
+/// The length of the header in bytes.
 pub(crate) const HEADER_BYTES: usize = size_of::<Header>();
-/// Bytes of a slot.
+/// The length of a slot in bytes.
 pub(crate) const SLOT_BYTES: usize = size_of::<Slot>();
-/// The most slots that a file has: all keys, and the anchor. It is the limit of versions that know of no anchors.
+/// The maximum number of slots in a file: all keys and the anchor. Builds without anchors have the same limit.
 const MAX_SLOTS: usize = MAX_KEYS + 1;
-/// The most bytes that a file has.
+/// The maximum length of a file in bytes.
 pub(crate) const MAX_BYTES: usize = HEADER_BYTES + SLOT_BYTES * MAX_SLOTS;
 
-/// Why a file can't be used.
+/// Why a journal file can't be used.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum JournalError {
-    /// It has no header, or that of another format.
+    /// The header is missing or that of another format.
     #[error("not a journal of keys")]
     NotAJournal,
-    /// Another version wrote it.
+    /// It has another format version.
     #[error("of version {0}, not {VERSION}")]
     Version(u32),
-    /// Its process numbered the zones differently.
+    /// Its process numbered the zones differently; see [`crate::zones_hash`].
     #[error("of other zones")]
     OtherZones,
-    /// It is longer than any journal.
+    /// It is longer than a journal can be.
     #[error("too long: {0} bytes, at most {MAX_BYTES}")]
     TooLong(usize),
 }
 
-/// The header of a file for the zones of this hash, see [`crate::zones_hash`].
+/// Encodes the header of a file; for `zones_hash` see [`crate::zones_hash`].
 pub fn encode_header(zones_hash: u64) -> Vec<u8> {
     Header { magic: MAGIC.into(), version: VERSION.into(), zones_hash: zones_hash.into() }
         .as_bytes()
         .to_vec()
 }
 
+/// Encodes a slot with this entry, or an empty one.
 pub(crate) fn encode(entry: Option<&Entry>) -> [u8; SLOT_BYTES] {
     let micros = |time: Duration| U64::new(u64::try_from(time.as_micros()).unwrap_or(u64::MAX));
     entry.map_or([0; SLOT_BYTES], |entry| {
@@ -102,7 +103,7 @@
     })
 }
 
-/// The slot of the process's anchor.
+/// Encodes the slot of the process's anchor.
 pub(crate) fn encode_anchor(anchor: &ClockAnchor) -> [u8; SLOT_BYTES] {
     with_checksum(Slot {
         key: anchor.boot.into(),
@@ -126,21 +127,21 @@
     crc32fast::hash(&slot.as_bytes()[..covered])
 }
 
-/// What a journal file holds.
+/// The contents of a journal file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Contents {
     /// The entries, in the order of their slots.
     pub entries: Vec<Entry>,
-    /// Slots that are neither empty nor whole.
+    /// The number of slots that are neither empty nor have a valid checksum.
     pub corrupt: usize,
-    /// The clock of the process that wrote it, if it wrote that.
+    /// The clock of the process that wrote the file; none if an older build wrote it.
     pub anchor: Option<ClockAnchor>,
 }
 
-/// Reads the bytes of a file for the zones of this hash.
+/// Reads the bytes of a journal file. Corrupt slots are counted and skipped.
 ///
 /// # Errors
-/// Why the file can't be used.
+/// Returns why the file as a whole can't be used.
 pub fn read(bytes: &[u8], zones_hash: u64) -> Result<Contents, JournalError> {
     if bytes.len() > MAX_BYTES {
         return Err(JournalError::TooLong(bytes.len()));
--- a/crates/keys/tests/keys.rs
+++ b/crates/keys/tests/keys.rs
@@ -1,7 +1,7 @@
-//! Keys remembered: within their window, within their bound, and over the end of a process.
+//! Remembered keys: their windows, their limit, and how journals outlive the process.
 
 use curlewhub_keys::{
-    Contents, Entry, Journal, JournalError, Memory, Others, SlotWrite, encode_header, hash, read,
+    Contents, Entry, Journal, JournalError, Memory, OtherJournals, SlotWrite, encode_header, hash, read,
     zones_hash,
 };
 use proptest::prelude::*;
@@ -15,7 +15,7 @@
     Entry { key, zone, cell: u64::from(zone) << 40, sent, window: Duration::from_secs(6) }
 }
 
-/// A folder that goes with the test.
+/// A folder that is removed at the end of the test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_surely_did_not_run_is_forgotten_and_its_slot_serves_another() {
+fn a_job_that_did_not_run_is_forgotten_and_its_slot_is_reused() {
     let mut memory = Memory::default();
     memory.note(NOW, entry(1, 1, NOW));
     assert_eq!(memory.forget(1), Some(SlotWrite { slot: 0, entry: None }));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_time_ahead_of_now_is_taken_for_now() {
+fn a_time_in_the_future_is_taken_for_now() {
     let mut memory = Memory::default();
     memory.note(NOW, entry(1, 1, NOW + Duration::from_secs(60)));
     assert!(memory.find(NOW + Duration::from_secs(5), 1).is_some());
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn beyond_its_bound_the_oldest_goes_and_is_counted() {
+fn beyond_the_limit_the_oldest_key_is_evicted_and_counted() {
     let mut memory = Memory::holding(3);
     for key in 0..5 {
         memory.note(NOW, entry(key, 1, NOW));
@@ -85,12 +85,12 @@
     first.write(&memory.forget(1).unwrap()).unwrap();
     drop(first);
     let second = Journal::create(&folder.0, "s", NOW + Duration::from_secs(1), zones).unwrap();
-    let others = Others::new(&folder.0, "s", Some(&second), zones);
+    let others = OtherJournals::new(&folder.0, "s", Some(&second), zones);
     let (found, problems) = others.read();
     assert_eq!((found, problems), (vec![entry(0, 0, NOW), entry(2, 2, NOW)], vec![]));
-    let stranger = Others::new(&folder.0, "t", None, zones);
-    assert!(stranger.read().0.is_empty(), "another sidecar's are none of its business");
-    let (found, problems) = Others::new(&folder.0, "s", Some(&second), 7).read();
+    let other_sidecar = OtherJournals::new(&folder.0, "t", None, zones);
+    assert!(other_sidecar.read().0.is_empty(), "journals of another sidecar are left out");
+    let (found, problems) = OtherJournals::new(&folder.0, "s", Some(&second), 7).read();
     assert!(found.is_empty() && problems[0].contains("of other zones"), "{problems:?}");
     assert_eq!(others.clear(Duration::from_secs(3600)), 0);
     assert_eq!(others.clear(Duration::ZERO), 1);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn what_is_no_journal_is_refused_by_name() {
+fn bytes_that_are_no_journal_are_rejected_with_a_specific_error() {
     let header = encode_header(9);
     assert_eq!(read(b"CLHK", 9), Err(JournalError::NotAJournal));
     assert_eq!(read(&[1; 64], 9), Err(JournalError::NotAJournal));
@@ -114,45 +114,45 @@
 }
 
 #[test]
-fn a_key_of_one_class_is_not_one_of_another() {
+fn equal_keys_of_two_classes_have_different_hashes() {
     assert_ne!(hash("ab", b"c"), hash("a", b"bc"));
     assert_eq!(hash("a", b"b"), hash("a", b"b"));
     assert_ne!(zones_hash(&["ab".into(), "c".into()]), zones_hash(&["a".into(), "bc".into()]));
 }
 
 proptest! {
-    /// The file, slot by slot, always holds just what the memory knows; both against a plain table.
+    /// The slots always contain exactly what the memory knows, and both agree with a plain map.
     #[test]
-    fn file_memory_and_a_plain_table_agree(
+    fn slots_memory_and_a_plain_map_agree(
         steps in prop::collection::vec((0..40u64, 0..3u8, 0..900u64), 0..300),
-        most in 1..30usize,
+        capacity in 1..30usize,
     ) {
-        let mut memory = Memory::holding(most);
+        let mut memory = Memory::holding(capacity);
         let mut slots: HashMap<u32, Option<Entry>> = HashMap::new();
         let mut plain: HashMap<u64, Entry> = HashMap::new();
         let mut now = NOW;
-        for (key, what, wait) in steps {
+        for (key, action, wait) in steps {
             now += Duration::from_millis(wait);
-            let written = if what == 0 {
+            let written = if action == 0 {
                 plain.remove(&key);
                 memory.forget(key)
             } else {
-                let new = entry(key, u32::from(what), now);
+                let new = entry(key, u32::from(action), now);
                 if plain.get(&key).is_none_or(|old| old.is_over(now)) {
                     plain.insert(key, new);
                 }
                 memory.note(now, new)
             };
             if let Some(SlotWrite { slot, entry }) = written {
-                prop_assert!((slot as usize) < most, "slot {slot} of {most}");
+                prop_assert!((slot as usize) < capacity, "slot {slot} of {capacity}");
                 slots.insert(slot, entry);
             }
-            let mut kept: Vec<Entry> = slots.values().flatten().filter(|e| !e.is_over(now)).copied().collect();
-            kept.sort_by_key(|entry| entry.key);
+            let mut stored: Vec<Entry> = slots.values().flatten().filter(|e| !e.is_over(now)).copied().collect();
+            stored.sort_by_key(|entry| entry.key);
             let mut known: Vec<Entry> = (0..40).filter_map(|key| memory.find(now, key)).copied().collect();
             known.sort_by_key(|entry| entry.key);
-            prop_assert_eq!(&kept, &known, "the file is what is remembered");
-            prop_assert!(memory.len() <= most);
+            prop_assert_eq!(&stored, &known, "the slots are what is remembered");
+            prop_assert!(memory.len() <= capacity);
             if memory.lost() == 0 {
                 let mut plain: Vec<Entry> = plain.values().filter(|e| !e.is_over(now)).copied().collect();
                 plain.sort_by_key(|entry| entry.key);
--- a/crates/keys/tests/storage.rs
+++ b/crates/keys/tests/storage.rs
@@ -1,8 +1,8 @@
-//! The journal over disks that fail, kills in the middle of a write, and clocks that step.
+//! Journals on failing disks, after kills in the middle of a write, and over steps of the wall clock.
 
 use curlewhub_keys::{
-    ClockAnchor, Entry, Journal, JournalFolder, MAX_KEYS, Memory, Others, OwnJournal, RETRY_INTERVAL, read,
-    shift,
+    ClockAnchor, Entry, Journal, JournalFolder, MAX_KEYS, Memory, OtherJournals, RETRY_INTERVAL,
+    RetryingJournal, read, shift,
 };
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -16,14 +16,14 @@
 const HEADER_BYTES: usize = 16;
 const SLOT_BYTES: usize = 40;
 const SECOND: Duration = Duration::from_secs(1);
-/// Written by the version before anchors: keys 0 to 3, and key 1 forgotten.
-const BEFORE: &[u8] = include_bytes!("fixtures/journal-v1.bin");
+/// Written by the build before anchors: keys 0 to 3, of which key 1 was forgotten.
+const JOURNAL_WITHOUT_ANCHOR: &[u8] = include_bytes!("fixtures/journal-v1.bin");
 
 fn entry(key: u64, sent: Duration) -> Entry {
     Entry { key, zone: key as u32, cell: key << 40, sent, window: WINDOW }
 }
 
-/// A folder that goes with the test.
+/// A folder that is removed at the end of the test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -33,12 +33,12 @@
         Folder(path)
     }
 
-    fn place(&self) -> JournalFolder {
+    fn location(&self) -> JournalFolder {
         JournalFolder { folder: self.0.clone(), sidecar: "s".to_owned(), zones_hash: ZONES_HASH }
     }
 
-    fn others(&self) -> Others {
-        Others::new(&self.0, "s", None, ZONES_HASH)
+    fn others(&self) -> OtherJournals {
+        OtherJournals::new(&self.0, "s", None, ZONES_HASH)
     }
 
     fn keys(&self) -> BTreeSet<u64> {
@@ -56,21 +56,21 @@
     ClockAnchor::new(b"a boot", unix, since_boot, since_boot)
 }
 
-fn write(own: &mut OwnJournal, memory: &mut Memory, key: u64) -> std::io::Result<()> {
+fn write(own: &mut RetryingJournal, memory: &mut Memory, key: u64) -> std::io::Result<()> {
     own.write(NOW, &memory.note(NOW, entry(key, NOW)).unwrap())
 }
 
 #[test]
-fn the_bytes_of_the_version_before_are_read() {
-    let contents = read(BEFORE, ZONES_HASH).unwrap();
+fn a_journal_without_an_anchor_is_read() {
+    let contents = read(JOURNAL_WITHOUT_ANCHOR, ZONES_HASH).unwrap();
     assert_eq!(contents.entries, [0, 2, 3].map(|key| entry(key, NOW)));
     assert_eq!((contents.corrupt, contents.anchor), (0, None));
 }
 
 #[test]
-fn the_clock_is_no_key_for_a_version_that_knows_of_none() {
+fn builds_without_anchors_take_an_anchor_for_an_expired_key() {
     let folder = Folder::new("anchor");
-    let (mut own, problem) = OwnJournal::open(folder.place(), NOW, Some(anchor(NOW, SECOND)));
+    let (mut own, problem) = RetryingJournal::open(folder.location(), NOW, Some(anchor(NOW, SECOND)));
     assert!(problem.is_none());
     write(&mut own, &mut Memory::default(), 1).unwrap();
     let bytes = std::fs::read(own.path()).unwrap();
@@ -90,28 +90,28 @@
 }
 
 #[test]
-fn a_journal_that_can_not_be_created_is_created_later_with_all_that_is_known() {
+fn a_journal_that_can_not_be_created_is_created_later_with_all_entries() {
     let folder = Folder::new("late");
     std::fs::remove_dir(&folder.0).unwrap();
-    let (mut own, problem) = OwnJournal::open(folder.place(), NOW, None);
-    assert!(problem.is_some() && own.is_owing());
+    let (mut own, problem) = RetryingJournal::open(folder.location(), NOW, None);
+    assert!(problem.is_some() && own.needs_retry());
     let mut memory = Memory::default();
     for key in 0..1000 {
         assert!(write(&mut own, &mut memory, key).is_err());
     }
     own.write(NOW, &memory.forget(500).unwrap()).unwrap_err();
     std::fs::create_dir(&folder.0).unwrap();
-    assert!(own.retry(NOW).is_err(), "not before its time");
+    assert!(own.retry(NOW).is_err(), "not before the interval has passed");
     own.retry(NOW + RETRY_INTERVAL).unwrap();
-    assert!(!own.is_owing());
+    assert!(!own.needs_retry());
     assert_eq!(folder.keys(), (0..1000).filter(|key| *key != 500).collect());
 }
 
 #[test]
-fn the_next_write_takes_some_of_what_is_owed_with_it_and_the_rest_follows() {
+fn the_next_write_includes_some_dirty_slots_and_a_retry_the_others() {
     let folder = Folder::new("next");
     std::fs::remove_dir(&folder.0).unwrap();
-    let (mut own, _) = OwnJournal::open(folder.place(), NOW, None);
+    let (mut own, _) = RetryingJournal::open(folder.location(), NOW, None);
     let mut memory = Memory::default();
     for key in 0..300 {
         assert!(write(&mut own, &mut memory, key).is_err());
@@ -119,9 +119,9 @@
     std::fs::create_dir(&folder.0).unwrap();
     let later = NOW + RETRY_INTERVAL;
     own.write(later, &memory.note(later, entry(300, later)).unwrap()).unwrap();
-    assert!((1..300).contains(&own.owed()), "{} are owed", own.owed());
+    assert!((1..300).contains(&own.dirty_slots()), "{} are dirty", own.dirty_slots());
     own.retry(later).unwrap();
-    assert_eq!((own.owed(), folder.keys().len()), (0, 301));
+    assert_eq!((own.dirty_slots(), folder.keys().len()), (0, 301));
 }
 
 /// The part of the next test that runs under a limit on the size of files.
@@ -131,15 +131,15 @@
         return;
     }
     let folder = Folder::new("limit");
-    let (mut own, problem) = OwnJournal::open(folder.place(), NOW, Some(anchor(NOW, SECOND)));
+    let (mut own, problem) = RetryingJournal::open(folder.location(), NOW, Some(anchor(NOW, SECOND)));
     assert!(problem.is_none());
     let mut memory = Memory::default();
     let failed: Vec<u64> = (0..60).filter(|key| write(&mut own, &mut memory, *key).is_err()).collect();
     assert!(failed.len() > 10 && failed.len() < 50, "{failed:?}");
-    assert_eq!(own.owed(), failed.len());
+    assert_eq!(own.dirty_slots(), failed.len());
     let written: BTreeSet<u64> = (0..60).filter(|key| !failed.contains(key)).collect();
-    assert_eq!(folder.keys(), written, "one slot is half written, and costs no other");
-    // A slot that is written goes on to be; one that is owed gets what it has to hold at last.
+    assert_eq!(folder.keys(), written, "one slot is half written, and the others are intact");
+    // A slot within the limit can still be written; a dirty one gets its newest value once the limit is lifted.
     own.write(NOW, &memory.forget(0).unwrap()).unwrap();
     own.write(NOW, &memory.forget(59).unwrap()).unwrap_err();
     assert!(own.retry(NOW).is_err());
@@ -147,13 +147,13 @@
     let lifted = Command::new("prlimit").args(["--fsize=unlimited", "--pid", &process]).status().unwrap();
     assert!(lifted.success());
     own.retry(NOW).unwrap();
-    assert!(!own.is_owing());
+    assert!(!own.needs_retry());
     assert_eq!(folder.keys(), (1..59).collect());
     println!("under a limit: done");
 }
 
 #[test]
-fn slots_that_the_kernel_refuses_are_written_once_it_takes_them() {
+fn slots_that_the_kernel_rejects_are_written_once_it_accepts_them() {
     let own = std::env::current_exe().unwrap();
     let script = "trap '' XFSZ; ulimit -S -f 2; exec \"$0\" --exact under_a_limit_on_files --nocapture";
     let output = Command::new("sh")
@@ -162,29 +162,29 @@
         .env("CURLEWHUB_UNDER_A_LIMIT", "1")
         .output()
         .unwrap();
-    let said = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert!(output.status.success() && said.contains("under a limit: done"), "{output:?}");
+    let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
+    assert!(output.status.success() && stdout.contains("under a limit: done"), "{output:?}");
 }
 
-/// What a reader finds in these bytes; a file that can't be read holds nothing.
-fn found(bytes: &[u8]) -> Vec<Entry> {
+/// The entries that a reader finds in these bytes; none if they can't be read.
+fn read_entries(bytes: &[u8]) -> Vec<Entry> {
     read(bytes, ZONES_HASH).map(|contents| contents.entries).unwrap_or_default()
 }
 
 #[test]
-fn a_kill_at_any_byte_costs_only_what_was_being_written() {
+fn a_kill_at_any_byte_affects_only_the_slot_that_was_being_written() {
     let folder = Folder::new("cut");
-    let (mut own, _) = OwnJournal::open(folder.place(), NOW, Some(anchor(NOW, SECOND)));
+    let (mut own, _) = RetryingJournal::open(folder.location(), NOW, Some(anchor(NOW, SECOND)));
     let mut memory = Memory::default();
     (0..4).for_each(|key| write(&mut own, &mut memory, key).unwrap());
     let whole = std::fs::read(own.path()).unwrap();
-    let all = found(&whole);
+    let all = read_entries(&whole);
     assert_eq!(all.len(), 4);
     for length in 0..=whole.len() {
         let slots = length.saturating_sub(HEADER_BYTES + SLOT_BYTES) / SLOT_BYTES;
-        assert_eq!(found(&whole[..length]), all[..slots], "cut at {length}");
+        assert_eq!(read_entries(&whole[..length]), all[..slots], "cut at {length}");
     }
-    // The third slot is written over, by another key or by none, and the process is killed in between.
+    // The third slot is overwritten, by another key or by an empty slot, and the process is killed in between.
     let at = HEADER_BYTES + 3 * SLOT_BYTES;
     for forget in [true, false] {
         own.write(NOW, &memory.forget(2).unwrap()).unwrap();
@@ -195,11 +195,11 @@
         for done in 0..=SLOT_BYTES {
             let mut torn = whole.clone();
             torn[at..at + done].copy_from_slice(&over[at..at + done]);
-            let left = found(&torn);
+            let left = read_entries(&torn);
             let kept: Vec<u64> = left.iter().map(|entry| entry.key).filter(|key| key % 7 != 2).collect();
             let expected: &[u64] = if left.contains(&entry(7, NOW)) { &[0, 1, 7, 3] } else { &[0, 1, 3] };
             assert_eq!(kept, expected, "{done} bytes");
-            assert!(left.iter().all(|entry| all.contains(entry) || found(&over).contains(entry)));
+            assert!(left.iter().all(|entry| all.contains(entry) || read_entries(&over).contains(entry)));
         }
         memory = Memory::default();
         (0..4).for_each(|key| assert!(memory.note(NOW, entry(key, NOW)).is_some()));
@@ -207,24 +207,24 @@
 }
 
 #[test]
-fn a_half_written_header_costs_no_other_file() {
+fn a_half_written_header_does_not_affect_other_files() {
     let folder = Folder::new("header");
     let path = |name: u32| folder.0.join(format!("curlewhub-keys-s-{name}.bin"));
-    std::fs::write(path(1), BEFORE).unwrap();
+    std::fs::write(path(1), JOURNAL_WITHOUT_ANCHOR).unwrap();
     for length in 0..HEADER_BYTES + SLOT_BYTES {
-        std::fs::write(path(2), &BEFORE[..length]).unwrap();
+        std::fs::write(path(2), &JOURNAL_WITHOUT_ANCHOR[..length]).unwrap();
         let (entries, problems) = folder.others().read();
-        assert_eq!(entries, found(BEFORE), "{length}");
+        assert_eq!(entries, read_entries(JOURNAL_WITHOUT_ANCHOR), "{length}");
         assert!(problems.len() <= 1);
     }
 }
 
-/// A process that sent a key `age` before the second one starts, which reads it; the wall clock steps in between.
+/// The memory of a process that starts `age` after another one sent a key; the wall clock is stepped in between.
 fn successor(folder: &Path, age: Duration, step_micros: i64, same_boot: bool) -> (Memory, Duration) {
-    let place =
+    let location =
         JournalFolder { folder: folder.to_owned(), sidecar: "s".to_owned(), zones_hash: ZONES_HASH };
     let up = Duration::from_secs(5000);
-    let (mut own, _) = OwnJournal::open(place, NOW, Some(anchor(NOW, up)));
+    let (mut own, _) = RetryingJournal::open(location, NOW, Some(anchor(NOW, up)));
     let sent = NOW + SECOND;
     own.write(sent, &Memory::default().note(sent, entry(1, sent)).unwrap()).unwrap();
     drop(own);
@@ -232,7 +232,7 @@
     let boot: &[u8] = if same_boot { b"a boot" } else { b"another" };
     let clock = ClockAnchor::new(boot, now, up + SECOND + age, up + SECOND + age);
     let mut memory = Memory::default();
-    for found in Others::new(folder, "s", None, ZONES_HASH).read_on(Some(&clock)).0 {
+    for found in OtherJournals::new(folder, "s", None, ZONES_HASH).read_on(Some(&clock)).0 {
         memory.note(now, found);
     }
     (memory, now)
@@ -252,17 +252,17 @@
 }
 
 #[test]
-fn over_a_boot_or_a_sleep_the_wall_clock_is_all_there_is() {
+fn clocks_of_another_boot_or_over_a_suspension_are_not_compared() {
     let folder = Folder::new("boot");
     let (memory, now) = successor(&folder.0, SECOND, 0, false);
     assert!(memory.find(now, 1).is_some());
-    let slept = |since_boot: u64, ran: u64| {
+    let suspended = |since_boot: u64, ran: u64| {
         ClockAnchor::new(b"a boot", NOW, Duration::from_secs(since_boot), Duration::from_secs(ran))
     };
-    assert_eq!(slept(100, 90).correction_micros(&slept(50, 50)), None);
-    assert_eq!(slept(100, 90).correction_micros(&slept(60, 50)), Some(-40_000_000));
-    let bytes = slept(100, 90).to_bytes();
-    assert_eq!(ClockAnchor::from_bytes(&bytes), Some(slept(100, 90)));
+    assert_eq!(suspended(100, 90).correction_micros(&suspended(50, 50)), None);
+    assert_eq!(suspended(100, 90).correction_micros(&suspended(60, 50)), Some(-40_000_000));
+    let bytes = suspended(100, 90).to_bytes();
+    assert_eq!(ClockAnchor::from_bytes(&bytes), Some(suspended(100, 90)));
     assert_eq!(ClockAnchor::from_bytes(&bytes[1..]), None);
     assert_eq!(ClockAnchor::from_bytes(&vec![0; bytes.len()]), None);
 }
@@ -271,27 +271,27 @@
 fn files_are_removed_by_real_time_and_never_those_of_a_living_process() {
     let folder = Folder::new("clear");
     let up = Duration::from_secs(5000);
-    let (mut own, _) = OwnJournal::open(folder.place(), NOW, Some(anchor(NOW, up)));
+    let (mut own, _) = RetryingJournal::open(folder.location(), NOW, Some(anchor(NOW, up)));
     write(&mut own, &mut Memory::default(), 1).unwrap();
     let clear = |real: Duration, step: i64| {
         let now = shift(NOW + real, step * 1_000_000);
         let clock = anchor(now, up + real);
         folder.others().clear_on(Duration::from_secs(66), Some((&clock, now)))
     };
-    assert_eq!(clear(Duration::from_secs(7200), 0), 0, "it lives, and has only been quiet");
-    assert_eq!(folder.others().clear(Duration::ZERO), 0, "the same by the time of the file");
+    assert_eq!(clear(Duration::from_secs(7200), 0), 0, "its process is alive and was only idle");
+    assert_eq!(folder.others().clear(Duration::ZERO), 0, "the same by modification time");
     drop(own);
     assert_eq!(clear(SECOND, 3600) + clear(SECOND, -3600) + clear(Duration::from_secs(60), 0), 0);
     assert_eq!(clear(Duration::from_secs(70), -3600), 1);
-    // What has no clock goes by the time of the file.
+    // Without an anchor the modification time counts.
     Journal::create(&folder.0, "s", NOW, ZONES_HASH).unwrap();
     assert_eq!(clear(Duration::from_secs(7200), 0), 0);
 }
 
 proptest! {
-    /// A slot written over another is the old one, the new one, or none, wherever the write is cut.
+    /// Wherever a write is cut, the slot holds the old entry, the new one or none.
     #[test]
-    fn a_torn_slot_is_never_a_wrong_one(old in any::<(u64, u32, u64, u64)>(), new in any::<(u64, u32, u64, u64)>(), cut in 0..=SLOT_BYTES) {
+    fn a_torn_slot_never_yields_a_wrong_entry(old in any::<(u64, u32, u64, u64)>(), new in any::<(u64, u32, u64, u64)>(), cut in 0..=SLOT_BYTES) {
         let make = |(key, zone, cell, micros): (u64, u32, u64, u64)| {
             Entry { key, zone, cell, sent: Duration::from_micros(micros), window: WINDOW }
         };
@@ -305,7 +305,7 @@
         });
         let at = HEADER_BYTES + cut;
         let torn = [&bytes[1][..at], &bytes[0][at..]].concat();
-        for entry in found(&torn) {
+        for entry in read_entries(&torn) {
             prop_assert!(entry == make(old) || entry == make(new));
         }
     }
