--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,11 +1,12 @@
-//! The binary format of what a sidecar has learned: it is handed to the successor, and kept in a file for a start after
-//! a crash.
+//! The binary format of a [`Snapshot`] of what a balancer has learned. A sidecar hands it to its successor, and stores it
+//! in a file for a start after a crash.
 //!
 //! A header precedes the payload (postcard). Its fields are little-endian: magic (4 bytes), version (2), the fingerprint
 //! of the settings (8), the length of the payload (4), and a CRC-32 of the header so far and the payload (4). Invalid
-//! bytes are rejected with a specific error, and the process starts without them.
+//! bytes are rejected with a specific [`SnapshotError`], and the process starts without a snapshot.
 //!
-//! An appendix may follow the snapshot within the payload; versions that know of none ignore it.
+//! An appendix may follow the snapshot within the payload; builds without appendices ignore it. It holds the clock of the
+//! process that took the snapshot, so that a step of the wall clock since then can be corrected.
 
 #![warn(clippy::too_many_lines)]
 
@@ -21,64 +22,64 @@
 use thiserror::Error;
 
 const MAGIC: &[u8; 4] = b"CLHS";
-/// Raised with each change of the payload's fields.
+/// The format version; raised with each incompatible change of the payload.
 const VERSION: u16 = 1;
-/// The length of the header.
+/// The length of the header in bytes.
 const HEADER_BYTES: usize = 22;
-/// Where the header's fields begin.
-const VERSION_AT: usize = 4;
-const FINGERPRINT_AT: usize = 6;
-const LENGTH_AT: usize = 14;
-const CHECKSUM_AT: usize = 18;
-/// The most bytes that a snapshot has: 100,000 endpoints take under 10 MiB.
+/// Offsets of the header's fields.
+const VERSION_OFFSET: usize = 4;
+const FINGERPRINT_OFFSET: usize = 6;
+const LENGTH_OFFSET: usize = 14;
+const CHECKSUM_OFFSET: usize = 18;
+/// The maximum length of an encoded snapshot in bytes: 100,000 endpoints take under 10 MiB.
 pub const MAX_BYTES: usize = 16 << 20;
-/// A clock that has stepped back by no more than this between two processes is tolerated.
+/// A snapshot from the future by up to this is used: the wall clock may have stepped back between two processes.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(60);
 
 /// Why a snapshot can't be used.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SnapshotError {
-    /// It is too short for its header, or for the length in the header.
+    /// It is shorter than the header, or than the length stated in the header.
     #[error("truncated: {have} bytes of {want}")]
     Truncated {
-        /// Bytes that are there.
+        /// Its length in bytes.
         have: usize,
-        /// Bytes that there should be.
+        /// The expected length in bytes.
         want: usize,
     },
-    /// It is longer than any snapshot, or than the length in its header.
-    #[error("too long: {have} bytes, at most {most}")]
+    /// It is longer than [`MAX_BYTES`], or than the length stated in the header.
+    #[error("too long: {have} bytes, at most {max}")]
     TooLong {
-        /// Bytes that are there.
+        /// Its length in bytes.
         have: usize,
-        /// Bytes that there may be.
-        most: usize,
+        /// The maximum length in bytes.
+        max: usize,
     },
     /// It does not begin with the magic bytes.
     #[error("not a snapshot")]
     NotASnapshot,
-    /// Another version wrote it.
+    /// It has another format version.
     #[error("of version {0}, not {VERSION}")]
     Version(u16),
-    /// It was learned under other settings: another tier, other classes, tenants or rules.
+    /// It was taken under other settings: another tier, or other classes, tenants or rules.
     #[error("of another tier or configuration")]
     Configuration,
-    /// Bytes have changed since it was written.
+    /// Its checksum does not match its bytes.
     #[error("corrupt: its checksum does not fit")]
     Corrupt,
-    /// Its payload can't be read, or holds values that no balancer reaches.
+    /// Its payload can't be decoded, or contains values that no balancer reaches.
     #[error("malformed")]
     Malformed,
-    /// It is too old to say anything.
+    /// It is older than [`AGE_MOST`]: what it says no longer holds.
     #[error("too old: {} s, at most {}", .0.as_secs(), AGE_MOST.as_secs())]
     TooOld(Duration),
-    /// It was taken at a time in the future.
+    /// It was taken in the future, by more than a small step of the clock explains.
     #[error("from the future, by {} s", .0.as_secs())]
     FromTheFuture(Duration),
 }
 
-/// The fingerprint of settings: a snapshot is used only under the settings that it was learned with. It is the same in
-/// every process of one version.
+/// The fingerprint of settings. A snapshot is used only under the settings that it was taken with. The fingerprint is the
+/// same in every process of one build, and hashes the settings' debug text: renamed fields change it.
 pub fn fingerprint(settings: &Settings) -> u64 {
     struct Hash(FnvHasher);
     impl Write for Hash {
@@ -92,28 +93,28 @@
     hash.0.finish()
 }
 
-/// Encodes a snapshot for settings of this fingerprint.
+/// Encodes a snapshot that was taken under settings with this fingerprint.
 ///
 /// # Errors
-/// It would be longer than [`MAX_BYTES`].
+/// Returns [`SnapshotError::TooLong`] if it would be longer than [`MAX_BYTES`].
 pub fn encode(snapshot: &Snapshot, fingerprint: u64) -> Result<Vec<u8>, SnapshotError> {
-    encode_with(snapshot, fingerprint, &[])
+    encode_with_appendix(snapshot, fingerprint, &[])
 }
 
-/// Encodes a snapshot and an appendix, which [`appendix`] gives back.
+/// Encodes a snapshot followed by an appendix, which [`appendix`] returns.
 ///
 /// # Errors
-/// It would be longer than [`MAX_BYTES`].
-pub fn encode_with(
+/// Returns [`SnapshotError::TooLong`] if it would be longer than [`MAX_BYTES`].
+pub fn encode_with_appendix(
     snapshot: &Snapshot,
     fingerprint: u64,
     appendix: &[u8],
 ) -> Result<Vec<u8>, SnapshotError> {
     let mut payload = postcard::to_stdvec(snapshot).map_err(|_| SnapshotError::Malformed)?;
     payload.extend_from_slice(appendix);
-    let most = MAX_BYTES - HEADER_BYTES;
-    if payload.len() > most {
-        return Err(SnapshotError::TooLong { have: payload.len(), most });
+    let max = MAX_BYTES - HEADER_BYTES;
+    if payload.len() > max {
+        return Err(SnapshotError::TooLong { have: payload.len(), max });
     }
     let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len());
     bytes.extend_from_slice(MAGIC);
@@ -133,69 +134,70 @@
     hash.finalize()
 }
 
-/// The bytes of a header field.
-fn field<const N: usize>(bytes: &[u8], at: usize) -> Result<[u8; N], SnapshotError> {
-    let found = bytes.get(at..at + N).and_then(|field| field.try_into().ok());
+/// The bytes of the header field at this offset.
+fn header_field<const N: usize>(bytes: &[u8], offset: usize) -> Result<[u8; N], SnapshotError> {
+    let found = bytes.get(offset..offset + N).and_then(|field| field.try_into().ok());
     found.ok_or(SnapshotError::Truncated { have: bytes.len(), want: HEADER_BYTES })
 }
 
-/// Decodes a snapshot of any settings and any age. Returns it with its fingerprint.
+/// Decodes a snapshot whatever its settings and age are. Returns it with the fingerprint of its settings.
 ///
 /// # Errors
-/// Why it can't be read.
+/// Returns why it can't be decoded.
 pub fn decode_any(bytes: &[u8]) -> Result<(Snapshot, u64), SnapshotError> {
     if !bytes.starts_with(&MAGIC[..bytes.len().min(MAGIC.len())]) {
         return Err(SnapshotError::NotASnapshot);
     }
-    let version = u16::from_le_bytes(field(bytes, VERSION_AT)?);
+    let version = u16::from_le_bytes(header_field(bytes, VERSION_OFFSET)?);
     if version != VERSION {
         return Err(SnapshotError::Version(version));
     }
-    let fingerprint = u64::from_le_bytes(field(bytes, FINGERPRINT_AT)?);
-    let length = u32::from_le_bytes(field(bytes, LENGTH_AT)?) as usize;
-    let expected = u32::from_le_bytes(field(bytes, CHECKSUM_AT)?);
+    let fingerprint = u64::from_le_bytes(header_field(bytes, FINGERPRINT_OFFSET)?);
+    let length = u32::from_le_bytes(header_field(bytes, LENGTH_OFFSET)?) as usize;
+    let expected = u32::from_le_bytes(header_field(bytes, CHECKSUM_OFFSET)?);
     let want = HEADER_BYTES + length;
     if want > MAX_BYTES || bytes.len() > want {
-        return Err(SnapshotError::TooLong { have: bytes.len().max(want), most: want.min(MAX_BYTES) });
+        return Err(SnapshotError::TooLong { have: bytes.len().max(want), max: want.min(MAX_BYTES) });
     }
     if bytes.len() < want {
         return Err(SnapshotError::Truncated { have: bytes.len(), want });
     }
     let payload = &bytes[HEADER_BYTES..];
-    if checksum(&bytes[..CHECKSUM_AT], payload) != expected {
+    if checksum(&bytes[..CHECKSUM_OFFSET], payload) != expected {
         return Err(SnapshotError::Corrupt);
     }
     let snapshot: Snapshot = postcard::from_bytes(payload).map_err(|_| SnapshotError::Malformed)?;
     if snapshot.is_sound() { Ok((snapshot, fingerprint)) } else { Err(SnapshotError::Malformed) }
 }
 
-/// The appendix of a snapshot that [`decode_any`] can read; empty if there is none.
+/// The appendix of a snapshot that [`decode_any`] accepts; empty if there is none.
 pub fn appendix(bytes: &[u8]) -> &[u8] {
     let payload = bytes.get(HEADER_BYTES..).unwrap_or_default();
     postcard::take_from_bytes::<Snapshot>(payload).map(|(_snapshot, rest)| rest).unwrap_or_default()
 }
 
-/// Decodes a snapshot for use now, under settings of this fingerprint.
+/// Decodes a snapshot for use at `now`, in Unix time, under settings with this fingerprint.
 ///
 /// # Errors
-/// Why it can't be used.
+/// Returns why it can't be used.
 pub fn decode(bytes: &[u8], fingerprint: u64, now: Duration) -> Result<Snapshot, SnapshotError> {
-    decode_moved(bytes, fingerprint, now, 0)
+    decode_corrected(bytes, fingerprint, now, 0)
 }
 
-/// The same of a process whose clock has to be corrected by so many microseconds.
+/// As [`decode`], after adding `correction_micros` to the snapshot's times: the step of the wall clock since the process
+/// that took the snapshot had started.
 ///
 /// # Errors
-/// Why it can't be used.
-pub fn decode_moved(
+/// Returns why it can't be used.
+pub fn decode_corrected(
     bytes: &[u8],
     fingerprint: u64,
     now: Duration,
     correction_micros: i64,
 ) -> Result<Snapshot, SnapshotError> {
-    let (snapshot, found) = decode_any(bytes)?;
+    let (snapshot, actual_fingerprint) = decode_any(bytes)?;
     let snapshot = snapshot.moved(correction_micros);
-    if found != fingerprint {
+    if actual_fingerprint != fingerprint {
         return Err(SnapshotError::Configuration);
     }
     let ahead = snapshot.taken.saturating_sub(now);
@@ -208,3 +210,9 @@
 
 /// The old name of [`MAX_BYTES`], for one release.
 pub use MAX_BYTES as BYTES_MOST;
+
+/// The old name of [`decode_corrected`], until `runtime` uses the new one.
+pub use decode_corrected as decode_moved;
+
+/// The old name of [`encode_with_appendix`], until `runtime` uses the new one.
+pub use encode_with_appendix as encode_with;
--- a/crates/snapshot/src/store.rs
+++ b/crates/snapshot/src/store.rs
@@ -1,4 +1,4 @@
-//! The file of a snapshot.
+//! The file that stores a snapshot, and the atomic replacement of files.
 
 use crate::MAX_BYTES;
 use std::fs::File;
@@ -13,7 +13,7 @@
 }
 
 impl Store {
-    /// The file in this folder for the sidecar that listens on this address: several sidecars may share a folder.
+    /// The file of the sidecar that listens on this address. Several sidecars may share a folder.
     pub fn new(folder: &Path, listen: SocketAddr) -> Store {
         Store { path: folder.join(format!("curlewhub-learnt-{}-{}.bin", listen.ip(), listen.port())) }
     }
@@ -23,65 +23,66 @@
         &self.path
     }
 
-    /// Removes what killed processes have left half written.
+    /// Removes temporary files that killed processes have left, and returns their number.
     pub fn remove_temporary_files(&self) -> usize {
         remove_temporary_files(&self.path)
     }
 
-    /// Reads the file; none if there is no file.
+    /// Reads the file; none if it does not exist.
     ///
     /// # Errors
-    /// The file can't be read.
+    /// Returns why the file can't be read.
     pub fn read(&self) -> io::Result<Option<Vec<u8>>> {
         let file = match File::open(&self.path) {
             Ok(file) => file,
-            Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
-            Err(e) => return Err(e),
+            Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
+            Err(error) => return Err(error),
         };
         let mut bytes = Vec::new();
-        // One byte more than any snapshot has shows that the file is none.
+        // One byte more than the longest snapshot is enough to see that the file is too long.
         file.take(MAX_BYTES as u64 + 1).read_to_end(&mut bytes)?;
         Ok(Some(bytes))
     }
 
-    /// Replaces the file's contents. They are written to a temporary file that is then renamed, so that neither a reader
-    /// nor a crash finds half of them.
+    /// Replaces the contents of the file as [`replace_file`] does.
     ///
     /// # Errors
-    /// They can't be written; the file stays as it was.
+    /// Returns why the contents can't be written; the file is unchanged then.
     pub fn write(&self, bytes: &[u8]) -> io::Result<()> {
         replace_file(&self.path, bytes)
     }
 }
 
-/// Replaces the contents of a file by way of a temporary file that is then renamed, so that neither a reader nor a crash
-/// finds half of them. The temporary file does not stay, whatever fails.
+/// Replaces the contents of a file. They are written to a temporary file that is then renamed, so that readers see either
+/// the old or the new contents also after a kill. The temporary file is removed if writing or renaming fails. Nothing is
+/// synced: the contents survive a crash of the process, but perhaps not of the machine.
 ///
 /// # Errors
-/// They can't be written; the file stays as it was.
+/// Returns why the contents can't be written; the file is unchanged then.
 pub fn replace_file(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let temporary = temporary(path, std::process::id());
+    let temporary = temporary_path(path, std::process::id());
     let written = std::fs::write(&temporary, bytes).and_then(|()| std::fs::rename(&temporary, path));
     if written.is_err() {
-        let _ = std::fs::remove_file(&temporary); // a full disk must not keep half of it
+        let _ = std::fs::remove_file(&temporary); // a full disk needs the space
     }
     written
 }
 
-/// Removes temporary files of this file that killed processes have left, and returns how many.
+/// Removes temporary files that killed processes have left beside this file, and returns their number.
 pub fn remove_temporary_files(path: &Path) -> usize {
-    let listed = path.parent().and_then(|folder| std::fs::read_dir(folder).ok());
-    let left = |beside: &PathBuf| {
+    let siblings = path.parent().and_then(|folder| std::fs::read_dir(folder).ok());
+    let is_abandoned = |sibling: &PathBuf| {
         let process =
-            beside.file_stem().and_then(|stem| Path::new(stem).extension()?.to_str()?.parse().ok());
+            sibling.file_stem().and_then(|stem| Path::new(stem).extension()?.to_str()?.parse().ok());
         process.is_some_and(|process: u32| {
-            *beside == temporary(path, process) && !Path::new(&format!("/proc/{process}")).exists()
+            *sibling == temporary_path(path, process) && !Path::new(&format!("/proc/{process}")).exists()
         })
     };
-    let paths = listed.into_iter().flatten().flatten().map(|entry| entry.path());
-    paths.filter(left).filter(|path| std::fs::remove_file(path).is_ok()).count()
+    let paths = siblings.into_iter().flatten().flatten().map(|entry| entry.path());
+    paths.filter(is_abandoned).filter(|path| std::fs::remove_file(path).is_ok()).count()
 }
 
-fn temporary(path: &Path, process: u32) -> PathBuf {
+/// The temporary file of the process with this id.
+fn temporary_path(path: &Path, process: u32) -> PathBuf {
     path.with_extension(format!("{process}.new"))
 }
--- a/crates/snapshot/tests/clocks.rs
+++ b/crates/snapshot/tests/clocks.rs
@@ -1,29 +1,30 @@
-//! Snapshots of the version before, with something behind them, and of a process with another clock.
+//! Snapshots of earlier builds, snapshots with an appendix, and corrections of a stepped clock.
 
 use curlewhub_balance::Settings;
 use curlewhub_snapshot::{
-    SnapshotError, appendix, decode, decode_any, decode_moved, encode, encode_with, fingerprint,
+    SnapshotError, appendix, decode, decode_any, decode_corrected, encode, encode_with_appendix,
+    fingerprint,
 };
 use std::time::Duration;
 
 const NOW: Duration = Duration::from_secs(1_000_000);
 const HOUR_MICROS: i64 = 3_600_000_000;
-/// Written by the version before appendices, at [`NOW`], of three endpoints.
-const BEFORE: &[u8] = include_bytes!("fixtures/snapshot-v1.bin");
+/// A snapshot of three endpoints, written at [`NOW`] by the build before appendices.
+const SNAPSHOT_WITHOUT_APPENDIX: &[u8] = include_bytes!("fixtures/snapshot-v1.bin");
 
 #[test]
-fn the_bytes_of_the_version_before_are_read_and_written_alike() {
+fn a_snapshot_without_an_appendix_is_read_and_written_as_before() {
     let settings = fingerprint(&Settings::default());
-    let snapshot = decode(BEFORE, settings, NOW).unwrap();
+    let snapshot = decode(SNAPSHOT_WITHOUT_APPENDIX, settings, NOW).unwrap();
     assert_eq!((snapshot.endpoints.len(), snapshot.taken), (3, NOW));
-    assert!(appendix(BEFORE).is_empty());
-    assert_eq!(encode(&snapshot, settings).unwrap(), BEFORE);
+    assert!(appendix(SNAPSHOT_WITHOUT_APPENDIX).is_empty());
+    assert_eq!(encode(&snapshot, settings).unwrap(), SNAPSHOT_WITHOUT_APPENDIX);
 }
 
 #[test]
-fn what_follows_a_snapshot_changes_nothing_for_who_does_not_know_of_it() {
-    let (snapshot, settings) = decode_any(BEFORE).unwrap();
-    let bytes = encode_with(&snapshot, settings, b"appendix").unwrap();
+fn an_appendix_does_not_change_what_is_decoded() {
+    let (snapshot, settings) = decode_any(SNAPSHOT_WITHOUT_APPENDIX).unwrap();
+    let bytes = encode_with_appendix(&snapshot, settings, b"appendix").unwrap();
     assert_eq!(appendix(&bytes), b"appendix");
     assert_eq!(decode_any(&bytes).unwrap(), (snapshot, settings));
     for length in 0..bytes.len() {
@@ -32,14 +33,14 @@
 }
 
 #[test]
-fn a_correction_takes_a_step_of_the_clock_out_of_the_age() {
+fn a_correction_removes_a_step_of_the_clock_from_the_age() {
     let settings = fingerprint(&Settings::default());
     for (step, correction) in [(HOUR_MICROS, HOUR_MICROS), (-HOUR_MICROS, -HOUR_MICROS)] {
         let now = (NOW.as_micros() as i64 + 5_000_000 + step) as u64;
         let now = Duration::from_micros(now);
-        assert!(decode(BEFORE, settings, now).is_err(), "too old, or from the future");
-        let snapshot = decode_moved(BEFORE, settings, now, correction).unwrap();
+        assert!(decode(SNAPSHOT_WITHOUT_APPENDIX, settings, now).is_err(), "too old, or from the future");
+        let snapshot = decode_corrected(SNAPSHOT_WITHOUT_APPENDIX, settings, now, correction).unwrap();
         assert_eq!(snapshot.age(now), Duration::from_secs(5));
-        assert_eq!(snapshot.moved(-correction), decode_any(BEFORE).unwrap().0);
+        assert_eq!(snapshot.moved(-correction), decode_any(SNAPSHOT_WITHOUT_APPENDIX).unwrap().0);
     }
 }
