--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -36,7 +36,7 @@
     /// The consensus servers of the fleet.
     #[serde(rename = "keepers")]
     pub consensus_servers: Vec<ConsensusServerConfig>,
-    /// Subscribers that are asked for the fleet view while no consensus server can be reached.
+    /// Further processes that are asked for the fleet view while no consensus server can be reached.
     #[serde(default)]
     pub peers: Vec<PeerConfig>,
     /// How zones fail over and recover.
@@ -81,7 +81,7 @@
     pub region: String,
 }
 
-/// A subscriber, as other processes know it.
+/// A peer, as other processes know it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerConfig {
@@ -115,7 +115,8 @@
     /// The minimum number of zones that these sidecars must be in; all of them if there are fewer.
     #[serde(rename = "halls_of_witnesses")]
     pub witness_zones: u32,
-    /// A zone is slow if its latency is this many times that of before and that of other zones ...
+    /// A zone is slow if its latency ratio is more than this many times the one of before, and more than half this many
+    /// times the median of the other zones of its tier ...
     #[serde(rename = "slow")]
     pub slow_ratio: f64,
     /// ... for this long.
