--- a/crates/control-plane/src/evidence.rs
+++ b/crates/control-plane/src/evidence.rs
@@ -1,6 +1,6 @@
 //! Evidence: what sidecars' own calls show, in bounded digests, merged by pair of halls.
 
-use crate::protocol::PeerId;
+use crate::peer::PeerId;
 use crate::record::MAX_TEXT_BYTES;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,8 +1,12 @@
-//! One versioned view of the fleet, sans I/O: events and a clock in, actions out, the same for a seed.
+//! The control plane of a fleet without I/O: one versioned view of what is decided, how it is agreed on, and how it spreads.
+//! Events and a clock go in, actions come out, and the same seed gives the same run.
 //!
-//! [`keeper`]s agree on proposals; each that makes sense becomes the next [`record`] of a [`view`]. [`holder`]s, one in
-//! each sidecar, bring themselves up from keepers or from one another. [`evidence`] goes the other way. [`wire`] is how
-//! any of it is said.
+//! [`consensus`] replicas agree on proposals; each valid one becomes the next [`record`] of the [`view`]. A [`subscriber`] in
+//! each sidecar keeps a copy of the view current, from consensus servers or other sidecars. [`evidence`] flows the other
+//! way: digests of the sidecars' calls, on which the servers decide. [`membership`] finds out which processes are alive, and
+//! [`protocol`] defines the messages.
+
+#![warn(clippy::too_many_lines)]
 
 pub mod applied;
 pub mod client;
@@ -11,7 +15,9 @@
 pub mod consensus_server;
 pub mod evidence;
 pub mod membership;
+pub mod peer;
 pub mod protocol;
 pub mod record;
+mod send_budget;
 pub mod subscriber;
 pub mod view;
--- a/crates/control-plane/src/subscriber.rs
+++ b/crates/control-plane/src/subscriber.rs
@@ -1,7 +1,10 @@
-//! A sidecar's side: it holds a view, never goes back, never goes over a gap, and brings itself up from whoever has more.
+//! Keeps a sidecar's copy of the view current. The copy never goes back to a lower version and never skips one, except by a
+//! snapshot that is consistent in itself; it is fetched from consensus servers, or from other sidecars that are ahead.
 
-use crate::protocol::{Message, PeerId};
+use crate::peer::PeerId;
+use crate::protocol::Message;
 use crate::record::{Hash, Record, Version};
+use crate::send_budget::SendBudget;
 use crate::view::{ApplyError, RecordTail, View};
 use rand::Rng;
 use rand::SeedableRng;
@@ -10,150 +13,147 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What is seen is told this often where no keeper wants it more seldom.
+/// How often evidence is reported, unless consensus servers ask for a longer interval.
 pub const EVIDENCE_INTERVAL: Duration = Duration::from_millis(250);
-/// No keeper may want it more seldom than this.
+/// The longest interval that consensus servers can ask for.
 pub const MAX_EVIDENCE_INTERVAL: Duration = Duration::from_secs(10);
-/// A keeper is asked once in so many paces, and tells what follows for a little longer than that.
+/// A consensus server is asked for records once in so many evidence intervals, and pushes new ones for half as long again.
 pub const INTERVALS_PER_FETCH: u32 = 4;
-/// A peer is told this often how far one is.
+/// How often the own version is gossiped to a peer.
 pub const GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
-/// One that does not answer is given up after this ...
+/// A fetch without an answer is abandoned after this.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
-/// ... and the next is asked after this, doubled each time up to the most, and less up to half at random.
+/// Backoff after a failed fetch; doubled with each further failure, with up to half of it taken off at random.
 pub const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest wait between two asks.
+/// The longest backoff between two fetches.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(4);
-/// Records told at once.
-pub const MAX_RECORDS_PER_MESSAGE: usize = 64;
-/// Peers at the most.
+/// Bound on the peers that a subscriber talks to.
 pub const MAX_PEERS: usize = 64;
-/// Bytes that it tells others in a second, at the most, and saves up at the most: a whole hall that comes back behind
-/// must not have a sidecar do nothing but tell.
+/// Bytes per second that a subscriber sends to others; also the largest burst. It keeps a zone that returns far behind from
+/// taking all of a sidecar's time.
 pub const SEND_BYTES_PER_S: f64 = 4e6;
+/// Failures after which the backoff is no longer doubled; [`MAX_BACKOFF`] is reached before.
+const MAX_BACKOFF_DOUBLINGS: u32 = 10;
 
-/// What a holder wants done.
+/// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Say this to a keeper or a peer, by its name.
+    /// Send a message to the consensus server or peer of this name.
     Send(String, Message),
-    /// This is decided, and follows what was: to be written down and acted on.
+    /// The next record was appended to the view: persist it and act on it.
     Applied(Record),
-    /// The view is this one now, over a gap that a snapshot closed: to be written down and acted on as a whole.
+    /// A snapshot has replaced the view: persist it and act on all of it.
     Replaced(View),
 }
 
-/// What was heard that could not be taken, by why.
+/// Counters of what went wrong, and of snapshots.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SubscriberCounters {
-    /// Another content for a known version, or a chain that does not meet this one.
+    /// Records that contradict a known version or the hash chain.
     pub conflicts: u64,
-    /// What did not follow, with a gap before it.
+    /// Records that did not follow the newest version.
     pub gaps: u64,
-    /// Records or snapshots that don't hold together.
+    /// Records out of their bounds, and inconsistent snapshots.
     pub invalid: u64,
-    /// Snapshots taken.
+    /// Snapshots that replaced the view.
     pub snapshots: u64,
-    /// Asks that nobody answered in time.
+    /// Fetches that were not answered in time.
     pub timeouts: u64,
-    /// Asks of others that were put off.
+    /// Fetches of others that were answered with a request to retry later.
     pub deferred: u64,
 }
 
-/// An ask under way.
 #[derive(Clone, Debug)]
-struct Asked {
-    of: String,
-    at: Duration,
+struct PendingFetch {
+    from: String,
+    sent_at: Duration,
 }
 
-/// A holder.
+/// A copy of the view, and the fetches and gossip that keep it current.
 #[derive(Debug)]
 pub struct Subscriber {
     view: View,
     tail: RecordTail,
     consensus_servers: Vec<String>,
-    set_peers: Vec<String>,
-    draws: Pcg32,
-    pending_fetch: Option<Asked>,
-    /// No ask before this.
+    peers: Vec<String>,
+    rng: Pcg32,
+    pending_fetch: Option<PendingFetch>,
+    /// The next fetch is not sent before this.
     fetch_at: Duration,
+    /// Failed fetches since the last answer.
     failures: u32,
     gossip_at: Duration,
-    /// When a keeper last said that this view is the newest, or told what makes it so.
-    confirmed: Option<Duration>,
+    /// When a consensus server last confirmed that this view is the newest, or sent what made it so.
+    confirmed_at: Option<Duration>,
     counters: SubscriberCounters,
-    /// How often keepers want to be told, and asked.
     evidence_interval: Duration,
-    /// Bytes that it may still tell, and when that was worked out.
-    budget: (f64, Duration),
-    /// The greatest incarnation heard of each keeper and peer that spoke.
+    send_budget: SendBudget,
+    /// The greatest incarnation seen of each consensus server and peer.
     incarnations: BTreeMap<String, u64>,
 }
 
 impl Subscriber {
-    /// One that begins with a view of its own, from its disk, or with none.
-    pub fn new(view: View, keepers: Vec<String>, seed: u64, now: Duration) -> Subscriber {
-        let mut draws = Pcg32::seed_from_u64(seed);
-        // Hundreds that start at once ask one after another.
-        let ask_at = now + (EVIDENCE_INTERVAL * INTERVALS_PER_FETCH).mul_f64(draws.random::<f64>());
-        let gossip_at = now + GOSSIP_INTERVAL.mul_f64(draws.random::<f64>());
-        let (tail, peers, asked, failures, confirmed, counts, incarnations) = Default::default();
+    /// Starts with the cached view, or an empty one. The first fetch is spread over an interval, so that hundreds of
+    /// sidecars that start together don't fetch together.
+    pub fn new(view: View, consensus_servers: Vec<String>, seed: u64, now: Duration) -> Subscriber {
+        let mut rng = Pcg32::seed_from_u64(seed);
+        let fetch_at = now + (EVIDENCE_INTERVAL * INTERVALS_PER_FETCH).mul_f64(rng.random::<f64>());
+        let gossip_at = now + GOSSIP_INTERVAL.mul_f64(rng.random::<f64>());
         Subscriber {
             view,
-            tail,
-            consensus_servers: keepers,
-            set_peers: peers,
-            draws,
-            pending_fetch: asked,
-            fetch_at: ask_at,
-            failures,
+            tail: RecordTail::default(),
+            consensus_servers,
+            peers: Vec::new(),
+            rng,
+            pending_fetch: None,
+            fetch_at,
+            failures: 0,
             gossip_at,
-            confirmed,
-            counters: counts,
+            confirmed_at: None,
+            counters: SubscriberCounters::default(),
             evidence_interval: EVIDENCE_INTERVAL,
-            budget: (SEND_BYTES_PER_S, now),
-            incarnations,
+            send_budget: SendBudget::new(SEND_BYTES_PER_S, now),
+            incarnations: BTreeMap::new(),
         }
     }
 
-    /// What it holds.
+    /// The copy of the view.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// How long ago a keeper last confirmed it; none where none has since the start.
+    /// Time since a consensus server last confirmed the view as the newest; none if that has not happened since the start.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        self.confirmed.map(|at| now.saturating_sub(at))
+        self.confirmed_at.map(|at| now.saturating_sub(at))
     }
 
-    /// How often what is seen is to be told.
+    /// How often evidence is to be reported.
     pub fn evidence_interval(&self) -> Duration {
         self.evidence_interval
     }
 
-    /// What could not be taken.
+    /// The counters.
     pub fn counters(&self) -> SubscriberCounters {
         self.counters
     }
 
-    /// Who is there beside it, by the membership.
+    /// Sets the peers to gossip with; those over [`MAX_PEERS`] are left out.
     pub fn set_peers(&mut self, mut peers: Vec<String>) {
         peers.truncate(MAX_PEERS);
         self.incarnations.retain(|name, _| peers.contains(name) || self.consensus_servers.contains(name));
-        self.set_peers = peers;
+        self.peers = peers;
     }
 
-    /// When it wants to be called again at the latest.
+    /// When [`Subscriber::tick`] is next due.
     pub fn next_wakeup(&self) -> Duration {
-        let ask = self.pending_fetch.as_ref().map_or(self.fetch_at, |asked| asked.at + ANSWER_TIMEOUT);
-        ask.min(self.gossip_at)
+        let timeout = |pending: &PendingFetch| pending.sent_at + ANSWER_TIMEOUT;
+        self.pending_fetch.as_ref().map_or(self.fetch_at, timeout).min(self.gossip_at)
     }
 
-    /// Time has passed.
+    /// Sends what is due: a fetch, after its timeout another one, and gossip.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
-        if self.pending_fetch.as_ref().is_some_and(|asked| now >= asked.at + ANSWER_TIMEOUT) {
+        if self.pending_fetch.as_ref().is_some_and(|pending| now >= pending.sent_at + ANSWER_TIMEOUT) {
             self.counters.timeouts += 1;
             self.back_off(now);
         }
@@ -161,8 +161,8 @@
             self.fetch(now, &mut actions);
         }
         if now >= self.gossip_at {
-            self.gossip_at = now + GOSSIP_INTERVAL.mul_f64(self.draws.random_range(0.75..1.25));
-            if let Some(peer) = self.set_peers.choose(&mut self.draws).cloned() {
+            self.gossip_at = now + GOSSIP_INTERVAL.mul_f64(self.rng.random_range(0.75..1.25));
+            if let Some(peer) = self.peers.choose(&mut self.rng).cloned() {
                 actions.push(Action::Send(peer, self.view_version_message()));
             }
         }
@@ -173,137 +173,133 @@
         Message::ViewVersion { version: self.view.version(), hash: self.view.hash() }
     }
 
-    /// Asks a keeper; after failures now and then a peer, which may reach one.
+    /// Fetches from a random consensus server. After every second failure it asks a peer, which may reach one.
     fn fetch(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let peer = self.failures > 0 && self.failures.is_multiple_of(2);
-        let from =
-            if peer && !self.set_peers.is_empty() { &self.set_peers } else { &self.consensus_servers };
-        let Some(of) = from.choose(&mut self.draws).cloned() else { return };
-        self.pending_fetch = Some(Asked { of: of.clone(), at: now });
-        actions.push(Action::Send(of, Message::FetchRecords { after: self.view.version() }));
+        let ask_peer = self.failures > 0 && self.failures.is_multiple_of(2) && !self.peers.is_empty();
+        let candidates = if ask_peer { &self.peers } else { &self.consensus_servers };
+        if let Some(from) = candidates.choose(&mut self.rng).cloned() {
+            self.fetch_from(from, now, actions);
+        }
+    }
+
+    fn fetch_from(&mut self, from: String, now: Duration, actions: &mut Vec<Action>) {
+        self.pending_fetch = Some(PendingFetch { from: from.clone(), sent_at: now });
+        actions.push(Action::Send(from, Message::FetchRecords { after: self.view.version() }));
     }
 
-    /// Nobody answered, or not now.
+    fn is_answer_from(&self, name: &str) -> bool {
+        self.pending_fetch.as_ref().is_some_and(|pending| pending.from == name)
+    }
+
+    /// Ends the pending fetch as failed and schedules the next one.
     fn back_off(&mut self, now: Duration) {
         self.pending_fetch = None;
-        let doubled = MIN_BACKOFF.saturating_mul(1 << self.failures.min(10)).min(MAX_BACKOFF);
+        let doublings = self.failures.min(MAX_BACKOFF_DOUBLINGS);
+        let backoff = MIN_BACKOFF.saturating_mul(1 << doublings).min(MAX_BACKOFF);
         self.failures += 1;
-        self.fetch_at = now + doubled.mul_f64(self.draws.random_range(0.5..=1.0));
+        self.fetch_at = now + backoff.mul_f64(self.rng.random_range(0.5..=1.0));
     }
 
-    /// Something was heard; of an old incarnation it is nothing.
+    /// Handles a message of a consensus server or another sidecar. Messages of superseded incarnations are ignored.
     pub fn handle_message(&mut self, now: Duration, from: &PeerId, message: Message) -> Vec<Action> {
         let mut actions = Vec::new();
-        let known = self.consensus_servers.contains(&from.name) || self.set_peers.contains(&from.name);
-        if known {
-            let newest = self.incarnations.entry(from.name.clone()).or_default();
-            if from.incarnation < *newest {
-                return actions;
-            }
-            *newest = from.incarnation;
+        if self.is_superseded(from) {
+            return actions;
         }
-        let answers = self.pending_fetch.as_ref().is_some_and(|asked| asked.of == from.name);
-        let keeper = self.consensus_servers.contains(&from.name);
+        let is_answer = self.is_answer_from(&from.name);
+        let is_server = self.consensus_servers.contains(&from.name);
         match message {
             Message::ViewVersion { version, hash } => {
-                self.handle_peer_version(now, from, (version, hash), keeper, &mut actions)
+                self.handle_peer_version(now, from, (version, hash), is_server, &mut actions);
             }
             Message::FetchRecords { after } => {
-                let message = self.answer_within_budget(now, after);
-                actions.push(Action::Send(from.name.clone(), message));
+                let answer = self.answer_within_budget(now, after);
+                actions.push(Action::Send(from.name.clone(), answer));
             }
             Message::Records(records) => {
                 let before = self.view.version();
                 for record in records {
                     self.apply_record(record, &mut actions);
                 }
-                self.answer_received(now, answers, keeper && self.view.version() > before);
+                self.answer_received(now, is_answer, is_server && self.view.version() > before);
             }
             Message::Snapshot(view) => {
-                let taken = self.apply_snapshot(view, &mut actions);
-                self.answer_received(now, answers, keeper && taken);
+                let replaced = self.apply_snapshot(view, &mut actions);
+                self.answer_received(now, is_answer, is_server && replaced);
             }
-            Message::SetEvidenceInterval { interval_ms: every_ms } if keeper => {
-                self.evidence_interval =
-                    Duration::from_millis(every_ms.into()).clamp(EVIDENCE_INTERVAL, MAX_EVIDENCE_INTERVAL);
+            Message::SetEvidenceInterval { interval_ms } if is_server => {
+                let interval = Duration::from_millis(interval_ms.into());
+                self.evidence_interval = interval.clamp(EVIDENCE_INTERVAL, MAX_EVIDENCE_INTERVAL);
             }
-            Message::RetryAfter { after_ms } if answers => {
+            Message::RetryAfter { after_ms } if is_answer => {
                 self.back_off(now);
-                self.fetch_at =
-                    self.fetch_at.max(now + Duration::from_millis(after_ms.into()).min(MAX_BACKOFF));
+                let retry_after = Duration::from_millis(after_ms.into()).min(MAX_BACKOFF);
+                self.fetch_at = self.fetch_at.max(now + retry_after);
             }
             _ => {}
         }
         actions
     }
 
+    /// Whether a later incarnation of the sender has been seen. Only those of consensus servers and peers are remembered.
+    fn is_superseded(&mut self, from: &PeerId) -> bool {
+        if !self.consensus_servers.contains(&from.name) && !self.peers.contains(&from.name) {
+            return false;
+        }
+        let newest = self.incarnations.entry(from.name.clone()).or_default();
+        *newest = from.incarnation.max(*newest);
+        from.incarnation < *newest
+    }
+
     fn handle_peer_version(
         &mut self,
         now: Duration,
         from: &PeerId,
         (version, hash): (Version, Hash),
-        keeper: bool,
+        is_server: bool,
         actions: &mut Vec<Action>,
     ) {
-        let answers = self.pending_fetch.as_ref().is_some_and(|asked| asked.of == from.name);
+        let is_answer = self.is_answer_from(&from.name);
         if version == self.view.version() {
             if hash != self.view.hash() {
                 self.counters.conflicts += 1;
                 return;
             }
-            self.answer_received(now, answers, keeper);
+            self.answer_received(now, is_answer, is_server);
         } else if version > self.view.version() {
-            // It has more: ask at once, but not twice at a time.
-            if self.pending_fetch.is_none() || answers {
-                self.pending_fetch = Some(Asked { of: from.name.clone(), at: now });
-                actions.push(Action::Send(
-                    from.name.clone(),
-                    Message::FetchRecords { after: self.view.version() },
-                ));
+            // It is ahead: fetch at once, unless another fetch is pending.
+            if self.pending_fetch.is_none() || is_answer {
+                self.fetch_from(from.name.clone(), now, actions);
             }
-        } else if !keeper {
-            let message = self.answer_within_budget(now, version);
-            if !matches!(message, Message::RetryAfter { .. }) {
-                actions.push(Action::Send(from.name.clone(), message));
+        } else if !is_server {
+            let answer = self.answer_within_budget(now, version);
+            if !matches!(answer, Message::RetryAfter { .. }) {
+                actions.push(Action::Send(from.name.clone(), answer));
             }
         }
     }
 
-    /// The same as far as its budget reaches; else when to come back.
+    /// What a sidecar that has the records up to `after` lacks, or a request to retry later if the send budget is used up.
     fn answer_within_budget(&mut self, now: Duration, after: Version) -> Message {
-        let message = self.answer(after);
-        let saved = SEND_BYTES_PER_S * now.saturating_sub(self.budget.1).as_secs_f64();
-        self.budget = ((self.budget.0 + saved).min(SEND_BYTES_PER_S), now);
-        let size = message.approximate_size() as f64;
-        // One that is larger than all that can be saved goes alone.
-        if size > self.budget.0 && self.budget.0 < SEND_BYTES_PER_S {
-            self.counters.deferred += 1;
-            return Message::RetryAfter { after_ms: self.draws.random_range(500..2000) };
-        }
-        self.budget.0 -= size;
-        message
-    }
-
-    /// What follows a version, for another one.
-    fn answer(&self, after: Version) -> Message {
-        if after >= self.view.version() {
-            return self.view_version_message();
-        }
-        match self.tail.after(after, MAX_RECORDS_PER_MESSAGE) {
-            Some(records) => Message::Records(records),
-            None => Message::Snapshot(self.view.clone()),
+        let answer = Message::view_since(&self.view, &self.tail, after);
+        self.send_budget.refill(now);
+        if self.send_budget.try_take(answer.approximate_size() as f64) {
+            return answer;
         }
+        self.counters.deferred += 1;
+        Message::RetryAfter { after_ms: self.rng.random_range(500..2000) }
     }
 
-    /// An answer has come, or what makes one needless.
-    fn answer_received(&mut self, now: Duration, answers: bool, confirms: bool) {
-        if confirms {
-            self.confirmed = Some(now);
+    /// Notes that the view was confirmed, if it was, and that the pending fetch was answered, if it was.
+    fn answer_received(&mut self, now: Duration, is_answer: bool, is_confirmed: bool) {
+        if is_confirmed {
+            self.confirmed_at = Some(now);
         }
-        if answers {
-            (self.pending_fetch, self.failures) = (None, 0);
-            let renew = self.evidence_interval * INTERVALS_PER_FETCH;
-            self.fetch_at = now + renew.mul_f64(self.draws.random_range(0.75..=1.0));
+        if is_answer {
+            self.pending_fetch = None;
+            self.failures = 0;
+            let interval = self.evidence_interval * INTERVALS_PER_FETCH;
+            self.fetch_at = now + interval.mul_f64(self.rng.random_range(0.75..=1.0));
         }
     }
 
@@ -322,7 +318,7 @@
         }
     }
 
-    /// A whole view: only a newer one, and one that holds together.
+    /// Replaces the view by a newer one that is consistent. Returns whether it did.
     fn apply_snapshot(&mut self, view: View, actions: &mut Vec<Action>) -> bool {
         if view.version() <= self.view.version() {
             return false;
