--- a/crates/control-plane/tests/membership.rs
+++ b/crates/control-plane/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership as it is lied to: two processes with one name, names without end, packets that are none.
+//! Membership under hostile or broken conditions: two processes with one name, oversized names, malformed packets.
 
 use curlewhub_control_plane::membership::{
     Action, MAX_PACKET_BYTES, Member, Membership, PacketRejection, Role,
@@ -20,7 +20,7 @@
     }
 }
 
-/// Members that reach one another at once, by their addresses.
+/// Members whose datagrams are delivered at once, by address.
 struct Group {
     now: Duration,
     members: Vec<Membership>,
@@ -28,7 +28,7 @@
 }
 
 impl Group {
-    /// All know where the first is.
+    /// The first one is the seed of all.
     fn new(all: &[Member]) -> Group {
         let seeds = [(all[0].name.clone(), all[0].address)];
         let one =
@@ -71,8 +71,8 @@
 }
 
 #[test]
-fn of_two_processes_with_one_name_the_later_start_is_the_one_for_all_and_for_good() {
-    // Whichever of the two joins first.
+fn of_two_processes_with_one_name_the_greater_incarnation_prevails() {
+    // In both orders of joining.
     for order in [[5, 9], [9, 5]] {
         let mut group = Group::new(&[
             member("a", 1, 1),
@@ -84,27 +84,28 @@
         group.run(Duration::from_secs(40));
         let (older, later) = if order[0] < order[1] { (2, 4) } else { (4, 2) };
         assert!(group.members[older].is_displaced() && !group.members[later].is_displaced(), "{order:?}");
-        assert_eq!(group.members[older].next_wakeup(), None, "it says nothing more");
+        assert_eq!(group.members[older].next_wakeup(), None, "it sends nothing more");
         for by in [0, 1, 3] {
             assert_eq!(group.incarnation(by, "twin"), Some(9), "{order:?}: at {by}");
         }
-        let told = |(n, action): &(usize, Action)| *n == older && matches!(action, Action::Displaced(_));
-        assert_eq!(group.seen.iter().filter(|seen| told(seen)).count(), 1);
-        // No fight: the later one was not taken for gone again and again.
-        let renewed = group.seen.iter().filter(|seen| seen.1 == Action::Rejoined).count();
-        assert!(renewed <= 2, "{order:?}: renewed {renewed} times");
+        let is_displacement =
+            |(n, action): &(usize, Action)| *n == older && matches!(action, Action::Displaced(_));
+        assert_eq!(group.seen.iter().filter(|seen| is_displacement(seen)).count(), 1);
+        // The later one was not declared down again and again.
+        let rejoins = group.seen.iter().filter(|seen| seen.1 == Action::Rejoined).count();
+        assert!(rejoins <= 2, "{order:?}: rejoined {rejoins} times");
     }
 }
 
 #[test]
-fn who_leaves_is_gone_at_once_and_a_restarted_name_is_there_again() {
+fn a_member_that_leaves_is_down_at_once_and_alive_again_after_a_restart() {
     let mut group = Group::new(&[member("a", 1, 1), member("b", 1, 2), member("c", 1, 3)]);
     group.run(Duration::from_secs(5));
     assert_eq!(group.incarnation(0, "c"), Some(1));
     let mut sent = Vec::new();
     let actions = group.members[2].leave();
     group.take(2, actions, &mut sent);
-    assert!(!sent.is_empty(), "it says so");
+    assert!(!sent.is_empty(), "it informs others");
     for (to, bytes) in sent {
         let n = group.members.iter().position(|m| m.local_member().address == to).unwrap();
         group.members[n].handle_packet(group.now, &bytes).unwrap();
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn one_whose_disk_forgot_and_whose_clock_went_back_is_not_kept_out_by_its_own_ghost() {
+fn a_restart_with_a_smaller_incarnation_at_the_same_address_raises_it() {
     let mut group = Group::new(&[member("a", 1, 1), member("b", 1, 2), member("c", 900, 3)]);
     group.run(Duration::from_secs(5));
     let seeds = [("a".to_owned(), member("a", 1, 1).address)];
@@ -131,9 +132,9 @@
 }
 
 #[test]
-fn one_that_counts_by_a_clock_that_went_back_is_a_member_at_a_new_address() {
+fn a_restart_with_a_clock_stepped_back_is_a_member_at_a_new_address() {
     let seeds = [("a".to_owned(), member("a", 1, 1).address)];
-    // Its earlier start is gone since long, was killed just now, or runs on beside it.
+    // Its earlier start ended long ago, was killed just now, or runs on.
     for (earlier_runs, gone_for) in [(false, 30), (false, 0), (true, 0)] {
         let mut group = Group::new(&[member("a", 1, 1), member("b", 1, 2), member("c", 900, 3)]);
         group.run(Duration::from_secs(5));
@@ -156,7 +157,7 @@
 }
 
 #[test]
-fn of_two_that_count_by_their_clocks_one_stays() {
+fn of_two_processes_that_count_by_their_clocks_one_prevails() {
     for (first, second) in [(7, 900), (900, 7)] {
         let seeds = [("a".to_owned(), member("a", 1, 1).address)];
         let mut group = Group::new(&[member("a", 1, 1), member("b", 1, 2)]);
@@ -169,26 +170,26 @@
         group.run(Duration::from_secs(40));
         let displaced: Vec<_> = group.members[2..].iter().filter(|c| c.is_displaced()).collect();
         assert_eq!(displaced.len(), 1);
-        let outlived =
+        let raised =
             group.seen.iter().filter(|seen| matches!(seen.1, Action::IncarnationRaised(_))).count();
-        assert!((1..=2).contains(&outlived), "{outlived}: each once at the most");
+        assert!((1..=2).contains(&raised), "{raised}: each at most once");
         assert_eq!(group.incarnation(0, "c"), group.incarnation(1, "c"));
     }
 }
 
 #[test]
-fn names_that_cannot_be_are_not_taken() {
+fn invalid_members_are_rejected() {
     let mut own = Membership::new(member("own", 5, 1), &[], 1, Duration::ZERO);
     let now = Duration::from_secs(1);
     let announce = |by: Member| {
         let seeds = [("own".to_owned(), own.local_member().address)];
-        let told = Membership::new(by, &seeds, 1, Duration::ZERO).tick(now);
-        told.into_iter().find_map(|action| match action {
+        let actions = Membership::new(by, &seeds, 1, Duration::ZERO).tick(now);
+        actions.into_iter().find_map(|action| match action {
             Action::Send(_, bytes) => Some(bytes),
             _ => None,
         })
     };
-    // Who announces itself, and what comes of it; nobody is there afterwards that may not be.
+    // The member that announces itself, and the number of members alive afterwards or the rejection.
     let cases = [
         (member("", 1, 2), Err(PacketRejection::Invalid)),
         (member(&"n".repeat(201), 1, 2), Err(PacketRejection::Invalid)),
@@ -198,24 +199,24 @@
         (member("b", 1, 2), Ok(1)),
     ];
     let packets: Vec<_> = cases.iter().map(|(by, _)| announce(by.clone())).collect();
-    for ((by, wanted), packet) in cases.into_iter().zip(packets) {
-        // One with a name like that can't be made to announce itself where it is not to be told of.
+    for ((by, expected), packet) in cases.into_iter().zip(packets) {
+        // Some invalid members can't be made to announce themselves.
         let Some(packet) = packet else { continue };
-        let heard = own.handle_packet(now, &packet).map(|_| own.alive_count());
-        assert_eq!(heard, wanted, "{by:?}");
+        let alive = own.handle_packet(now, &packet).map(|_| own.alive_count());
+        assert_eq!(alive, expected, "{by:?}");
     }
     assert_eq!(own.handle_packet(now, b"noise"), Err(PacketRejection::Malformed));
 }
 
 proptest! {
     #[test]
-    fn no_packet_brings_it_down(bytes in prop::collection::vec(any::<u8>(), 0..300), flip in 0..2000_usize) {
+    fn arbitrary_packets_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), flip in 0..2000_usize) {
         let mut own = Membership::new(member("own", 5, 1), &[], 1, Duration::ZERO);
         let _ = own.handle_packet(Duration::from_secs(1), &bytes);
-        // One bit off a sound one.
+        // A valid packet with one bit flipped.
         let seeds = [("own".to_owned(), own.local_member().address)];
-        let told = Membership::new(member("b", 1, 2), &seeds, 1, Duration::ZERO).tick(Duration::from_secs(1));
-        for action in told {
+        let actions = Membership::new(member("b", 1, 2), &seeds, 1, Duration::ZERO).tick(Duration::from_secs(1));
+        for action in actions {
             if let Action::Send(_, mut packet) = action {
                 let at = flip % (packet.len() * 8);
                 packet[at / 8] ^= 1 << (at % 8);
--- a/crates/control-plane/tests/protocol.rs
+++ b/crates/control-plane/tests/protocol.rs
@@ -1,4 +1,5 @@
-//! Messages and views as they come from outside: cut off, too long, replayed under another key, of another format, or noise.
+//! Decoding of messages (truncated, too long, under another key, of another format, noise), and which records and views
+//! are accepted.
 
 use curlewhub_control_plane::configuration::{
     ConfigAction, ConfigCommand, ConfigNumber, ConfigReport, RolloutPlan, Settings,
@@ -38,32 +39,32 @@
 }
 
 #[test]
-fn what_is_not_right_is_dropped_and_says_why() {
+fn each_invalid_message_is_rejected_with_its_reason() {
     let keys = MacKeys::single(1, KEY);
-    let sound = keys.encode(&envelope(), FORMAT);
-    assert_eq!(keys.decode(&sound), Ok(envelope()));
+    let valid = keys.encode(&envelope(), FORMAT);
+    assert_eq!(keys.decode(&valid), Ok(envelope()));
     let with = |at: usize, byte: u8| {
-        let mut bytes = sound.clone();
+        let mut bytes = valid.clone();
         bytes[at] = byte;
         bytes
     };
-    // A MAC that fits, over words that don't.
-    let mut unread = sound[..5].to_vec();
+    // Valid MACs over undecodable envelopes.
+    let mut unread = valid[..5].to_vec();
     unread.extend([255; 40]);
     unread.extend(blake3_of(&unread));
-    let mut longer = sound[..sound.len() - 32].to_vec();
+    let mut longer = valid[..valid.len() - 32].to_vec();
     longer.push(0);
     longer.extend(blake3_of(&longer));
     let cases: &[(&str, Vec<u8>, DecodeError)] = &[
         ("nothing", Vec::new(), DecodeError::NotAMessage),
-        ("short", sound[..20].to_vec(), DecodeError::NotAMessage),
+        ("short", valid[..20].to_vec(), DecodeError::NotAMessage),
         (
             "another protocol",
             b"GET / HTTP/1.1\r\nHost: here\r\nAccept: all\r\n\r\n".to_vec(),
             DecodeError::NotAMessage,
         ),
-        ("cut off", sound[..sound.len() - 1].to_vec(), DecodeError::WrongMac),
-        ("one bit off", with(9, sound[9] ^ 1), DecodeError::WrongMac),
+        ("cut off", valid[..valid.len() - 1].to_vec(), DecodeError::WrongMac),
+        ("one bit off", with(9, valid[9] ^ 1), DecodeError::WrongMac),
         ("a format to come", with(3, FORMAT + 1), DecodeError::UnsupportedFormat),
         ("a format long gone", with(3, MIN_FORMAT - 1), DecodeError::UnsupportedFormat),
         ("an unknown key", with(4, 2), DecodeError::UnknownKey),
@@ -80,9 +81,9 @@
 }
 
 #[test]
-fn words_of_the_configuration_come_behind_all_others_and_readers_that_lack_them_go_on() {
+fn configuration_messages_have_the_last_variant_numbers_and_older_readers_skip_them() {
     let keys = MacKeys::single(1, KEY);
-    // A word's number is the first byte behind who says it; builds of the same format rely on it.
+    // The variant's number is the first byte after the sender; builds of the same format rely on it.
     let number = |message: &Message| {
         let envelope = Envelope { message: message.clone(), ..envelope() };
         keys.encode(&envelope, FORMAT)[5 + 1 + envelope.from.name.len() + 1]
@@ -106,7 +107,7 @@
         let envelope = Envelope { message, ..envelope() };
         assert_eq!(keys.decode(&keys.encode(&envelope, FORMAT)), Ok(envelope));
     }
-    // A word that this build lacks is told from a message that is no one's: its reader goes on behind it.
+    // An unknown variant under a valid MAC is malformed, and not a wrong MAC: its reader goes on with the next message.
     let mut bytes = keys.encode(&Envelope { message: Message::DescribeConfig, ..envelope() }, FORMAT);
     bytes.truncate(bytes.len() - 32);
     *bytes.last_mut().unwrap() = 25;
@@ -115,15 +116,15 @@
 }
 
 fn blake3_of(bytes: &[u8]) -> [u8; 32] {
-    // What `MacKeys` writes, taken from a message of the same bytes: the last 32 of it.
+    // As `MacKeys` appends it.
     *blake3::keyed_hash(&KEY, bytes).as_bytes()
 }
 
 #[test]
-fn a_key_is_changed_with_two_known_for_a_while() {
+fn a_key_is_rotated_while_both_are_accepted() {
     let (old, new) = (MacKeys::single(1, KEY), MacKeys::single(2, OTHER));
     let (both_old, both_new) = (old.clone().with(2, OTHER), new.clone().with(1, KEY));
-    // First all read both, then all write the new one, then the old one goes.
+    // First all accept both keys, then all write with the new one, then the old one is removed.
     for (from, to, reads) in [
         (&old, &both_old, true),
         (&both_old, &old, true),
@@ -138,9 +139,9 @@
 }
 
 #[test]
-fn a_view_takes_what_follows_and_nothing_else() {
-    let held = view(7);
-    let next = record(8, held.hash(), "k0", vec![1]);
+fn a_view_accepts_only_the_next_record() {
+    let current = view(7);
+    let next = record(8, current.hash(), "k0", vec![1]);
     let last = record(7, view(6).hash(), "k1", vec![7]);
     let cases: Vec<(&str, Record, Result<(), ApplyError>)> = vec![
         ("the next", next.clone(), Ok(())),
@@ -151,20 +152,24 @@
             record(1, Hash::default(), "k1", vec![9]),
             Err(ApplyError::AlreadyKnown(Version(1))),
         ),
-        ("over a gap", record(9, held.hash(), "k0", vec![1]), Err(ApplyError::Gap(Version(9), Version(7)))),
+        (
+            "over a gap",
+            record(9, current.hash(), "k0", vec![1]),
+            Err(ApplyError::Gap(Version(9), Version(7))),
+        ),
         (
             "of another chain",
             record(8, Hash([1; 32]), "k0", vec![1]),
             Err(ApplyError::HashMismatch(Version(8))),
         ),
     ];
-    for (case, record, wanted) in cases {
-        let mut view = held.clone();
-        assert_eq!(view.apply(record), wanted, "{case}");
-        assert_eq!(view != held, wanted.is_ok(), "{case}: what is refused changes nothing");
+    for (case, record, expected) in cases {
+        let mut view = current.clone();
+        assert_eq!(view.apply(record), expected, "{case}");
+        assert_eq!(view != current, expected.is_ok(), "{case}: a rejected record changes nothing");
     }
-    let large = record(8, held.hash(), "k0", vec![0; MAX_BODY_BYTES + 1]);
-    assert!(matches!(held.validate_next(&large), Err(ApplyError::InvalidProposal(_))));
+    let large = record(8, current.hash(), "k0", vec![0; MAX_BODY_BYTES + 1]);
+    assert!(matches!(current.validate_next(&large), Err(ApplyError::InvalidProposal(_))));
 }
 
 #[test]
@@ -187,14 +192,14 @@
         view.apply(record(17, view.hash(), "more", vec![0; SMALL_RECORD_BYTES + 1])),
         Err(ApplyError::CapacityExceeded)
     );
-    // What is small finds room beside what is large.
+    // The reserve for small records is still free.
     view.apply(record(17, view.hash(), "hall/a", vec![0; SMALL_RECORD_BYTES])).unwrap();
     assert!(view.is_consistent());
 }
 
 proptest! {
     #[test]
-    fn no_bytes_bring_it_down_and_none_pass_without_the_key(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_are_rejected_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let mut framed = b"CHF\x01\x01".to_vec();
         framed.extend(&bytes);
         prop_assert!(MacKeys::single(1, KEY).decode(&bytes).is_err());
@@ -202,10 +207,10 @@
     }
 
     #[test]
-    fn a_view_from_outside_is_sound_or_is_not_taken(versions in 0..20_u64, at in 0..400_usize, bit in 0..8_u8) {
-        let sound = view(versions);
-        prop_assert!(sound.is_consistent());
-        let envelope = Envelope { from: PeerId { name: "k".to_owned(), incarnation: 1 }, message: Message::Snapshot(sound.clone()) };
+    fn a_snapshot_with_one_bit_flipped_is_rejected(versions in 0..20_u64, at in 0..400_usize, bit in 0..8_u8) {
+        let valid = view(versions);
+        prop_assert!(valid.is_consistent());
+        let envelope = Envelope { from: PeerId { name: "k".to_owned(), incarnation: 1 }, message: Message::Snapshot(valid.clone()) };
         let keys = MacKeys::single(1, KEY);
         prop_assert_eq!(keys.decode(&keys.encode(&envelope, FORMAT)), Ok(envelope.clone()));
         let mut bytes = keys.encode(&envelope, FORMAT);
