--- a/crates/control-plane/src/configuration.rs
+++ b/crates/control-plane/src/configuration.rs
@@ -1,27 +1,26 @@
-//! Configuration changes as they are said on the wire: an operator's commands, and what a sidecar reports back.
-//!
-//! What a command makes of the decided configuration is worked out by `curlewhub-rollout`.
+//! Configuration changes on the wire: an operator's commands and the sidecars' reports. `curlewhub-rollout` decides what a
+//! command does to the configuration.
 
 use crate::record::MAX_TEXT_BYTES;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Settings that one configuration holds, at the most.
+/// Bound on the settings of one configuration.
 pub const MAX_SETTINGS: usize = 64;
-/// Bytes of all their fields, values and zones together, at the most: a record holds three such contents, and the servers
-/// tell 1,900 sidecars of it within the second that [`crate::consensus::SEND_BYTES_PER_S`] is for.
+/// Bound on the bytes of all their fields, values and zones together. A record contains three configurations, and within
+/// [`crate::consensus::SEND_BYTES_PER_S`] it reaches 1,900 sidecars in a second.
 pub const MAX_SETTINGS_BYTES: usize = 4096;
-/// Zones that a canary names, at the most.
+/// Bound on the zones of a canary.
 pub const MAX_ZONES: usize = 64;
 
-/// The number of a configuration: it rises with each change and with each rollback, and stands for one content forever.
-/// 0 is the empty configuration, which each fleet begins with.
+/// The number of a configuration. It rises with each change and each rollback and is never used for other settings again.
+/// 0 is the empty configuration that each fleet begins with.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(transparent)]
 pub struct ConfigNumber(pub u64);
 
 impl ConfigNumber {
-    /// The one after it.
+    /// The next number.
     pub fn next(self) -> ConfigNumber {
         ConfigNumber(self.0.saturating_add(1))
     }
@@ -33,28 +32,28 @@
     }
 }
 
-/// Values by the field's path, such as `log.level`, as text.
+/// Values as text, by the path of the field, such as `log.level`.
 pub type SettingValues = BTreeMap<String, String>;
 
-/// What a configuration sets, in place of what each sidecar's own file says.
+/// The settings of a configuration. They override those of each sidecar's own file.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Settings {
-    /// At all sidecars.
+    /// For all sidecars.
     pub everywhere: SettingValues,
-    /// At those of a zone, over what is set everywhere.
+    /// For the sidecars of a zone; they override those for all.
     #[serde(default)]
     pub zones: BTreeMap<String, SettingValues>,
 }
 
 impl Settings {
-    /// What holds at the sidecars of a zone.
+    /// The settings in effect in a zone.
     pub fn in_zone(&self, zone: &str) -> SettingValues {
         let mut values = self.everywhere.clone();
         values.extend(self.zones.get(zone).cloned().unwrap_or_default());
         values
     }
 
-    /// What one of its parts sets: that of a zone, or that of all.
+    /// The settings stated for a zone, or those for all sidecars.
     pub fn part_mut(&mut self, zone: Option<&str>) -> &mut SettingValues {
         match zone {
             Some(zone) => self.zones.entry(zone.to_owned()).or_default(),
@@ -62,7 +61,7 @@
         }
     }
 
-    /// Each value with its field, and with its zone where it is of one.
+    /// All settings as (zone, field, value), without a zone for those of all sidecars.
     pub fn iter(&self) -> impl Iterator<Item = (Option<&str>, &String, &String)> {
         let everywhere = self.everywhere.iter().map(|(field, value)| (None, field, value));
         everywhere.chain(self.zones.iter().flat_map(|(zone, values)| {
@@ -71,31 +70,33 @@
     }
 }
 
-/// The sidecars that get a change first: all of some zones, and a part of the others by their names' hashes.
+/// The sidecars that receive a change first: all of some zones, and a part of the others, chosen by the hash of their names.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Canary {
-    /// Zones whose sidecars are all in it.
+    /// Zones whose sidecars all belong to it.
     pub zones: Vec<String>,
-    /// Thousandths of all sidecars that are in it, wherever they are.
+    /// The part of all sidecars that belongs to it wherever they are, in thousandths.
     pub per_mille: u16,
 }
 
-/// How a change is spread.
+/// How a change is rolled out.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct RolloutPlan {
-    /// Who gets it first; nobody: it goes to all at once.
+    /// The sidecars that receive it first; if it is empty, all receive it at once.
     pub canary: Canary,
-    /// Milliseconds that the canary must hold it, once all of it does, before it goes to all.
+    /// Soak time in milliseconds: from when the whole canary has it in force until all receive it.
     pub soak_ms: u32,
-    /// Milliseconds that a stage may take: the canary is then halted, and all the others are no longer waited for.
+    /// Time limit of a stage in milliseconds. At its end the canary stage is halted; the last stage ends without the sidecars
+    /// that are missing.
     pub stage_ms: u32,
-    /// Thousandths of the sidecars of a stage that may refuse a change, or be missing at the end of its stage.
+    /// The part of a stage's sidecars that may refuse the change, or be missing at the end of the stage, in thousandths.
     pub refused_most_per_mille: u16,
-    /// Thousandths of calls by which the canary's zones may fail more often than the others, over what they did before.
+    /// By how much the failure rate of the canary's zones may rise against that of the others, in thousandths of calls.
     pub failed_most_per_mille: u16,
 }
 
-/// A change is to be in force everywhere within 15 s: the operators' size. The canary, its soak and the rest share these.
+/// The operators want a change in force everywhere within 15 s; the canary stage, with its soak, and the last stage share
+/// these.
 impl Default for RolloutPlan {
     fn default() -> Self {
         RolloutPlan {
@@ -108,59 +109,59 @@
     }
 }
 
-/// What an operator wants done with the configuration.
+/// An action of an operator on the configuration.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ConfigAction {
-    /// Spread these settings in place of those of `base`, which is the newest that the operator has seen.
+    /// Roll out settings in place of those of `base`, the newest configuration that the operator has seen.
     Propose {
-        /// What the change was made from: with another newest one it is refused.
+        /// The change is rejected if another configuration is the newest.
         base: ConfigNumber,
         /// All settings, not only those that change.
         settings: Settings,
-        /// How it is spread.
+        /// How it is rolled out.
         plan: RolloutPlan,
     },
-    /// Give it to all, without waiting for the canary.
+    /// Proceed to all sidecars without waiting for the canary.
     Promote(ConfigNumber),
-    /// Give it to nobody but the canary.
+    /// Do not proceed beyond the canary.
     Halt(ConfigNumber),
-    /// Go back to the content before it, under a new number.
+    /// Return to the settings before it, under a new number.
     Rollback(ConfigNumber),
 }
 
 /// An operator's command.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ConfigCommand {
-    /// Sets it apart from others; one that comes twice is decided once.
+    /// Unique among commands and proposals: one that is sent twice is decided once.
     pub id: u64,
-    /// What is to be done.
+    /// The action.
     pub action: ConfigAction,
-    /// Who.
+    /// The operator.
     pub by: String,
-    /// Why.
+    /// The reason.
     pub why: String,
 }
 
 /// A configuration that a sidecar has refused.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Refusal {
-    /// Which.
+    /// The number of the configuration.
     pub number: ConfigNumber,
-    /// Why, cut to [`MAX_TEXT_BYTES`] bytes.
+    /// The reason, cut to [`MAX_TEXT_BYTES`] bytes.
     pub why: String,
 }
 
-/// What a sidecar has in force, and what it has refused last: a summary, which replaces the one before.
+/// The state of one sidecar's configuration. Each report replaces the one before.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct ConfigReport {
-    /// Which configuration is in force.
+    /// The configuration in force.
     pub in_force: ConfigNumber,
-    /// The last one that it has refused, where that is newer.
+    /// The last one that it has refused, if that is newer.
     pub refused: Option<Refusal>,
 }
 
 impl ConfigReport {
-    /// Whether its text is within its bounds.
+    /// Whether its texts are within their bounds.
     pub fn is_valid(&self) -> bool {
         self.refused.as_ref().is_none_or(|refused| refused.why.len() <= MAX_TEXT_BYTES)
     }
--- a/crates/control-plane/src/consensus_server.rs
+++ b/crates/control-plane/src/consensus_server.rs
@@ -1,106 +1,106 @@
-//! A keeper's whole part: it agrees with the others, is a member, and knows whose word counts.
+//! A consensus server: a raft replica with its membership.
 //!
-//! Of one name the latest start counts: what an earlier one still says of the agreement is dropped, and one that hears of a
-//! later start under its own name ends.
+//! Of two processes with one name the later incarnation is valid: raft messages of earlier ones are dropped, and a server
+//! that learns of a later incarnation of its own name must end.
 
 use crate::consensus::{self, Replica};
 use crate::membership::{self, Member, Membership};
-use crate::protocol::{Message, PeerId};
+use crate::peer::PeerId;
+use crate::protocol::Message;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the host does: first it keeps, and only then it says.
+/// Work for the host. What [`Output::replica`] wants written must be written before anything is sent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Output {
-    /// Of the agreement and the view.
+    /// Work of the replica.
     pub replica: consensus::Output,
-    /// Datagrams.
+    /// Datagrams to send.
     pub datagrams: Vec<(SocketAddr, Message)>,
-    /// Who is there now.
+    /// Members that are alive now.
     pub joined: Vec<Member>,
-    /// Who is not any more.
+    /// Members that are down now.
     pub left: Vec<Member>,
-    /// It counts its own start by this number from now on.
+    /// The server has raised its own incarnation; the host must use this one from now on.
     pub raised_incarnation: Option<u64>,
 }
 
-/// Why a keeper must end.
+/// Why a server must end.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FatalError {
-    /// Its disk holds less than it has promised.
+    /// Its state directory lacks entries that it has acknowledged.
     #[error(
         "state_dir: its folder holds less than it has promised: it is an old copy, or has forgotten; it goes on under a new number, with `joins = true`"
     )]
     LostState,
-    /// A later start holds its name.
+    /// A later incarnation has taken over its name.
     #[error("name: incarnation {0} of {1} keeps under this name since")]
     Displaced(u64, String),
 }
 
-/// A keeper's part.
+/// A raft replica with its membership.
 pub struct ConsensusServer {
-    /// The agreement, the view and the evidence.
+    /// The replica.
     pub replica: Replica,
     membership: Membership,
-    /// The keepers' names by number.
+    /// Names of the configured servers by raft id.
     names: BTreeMap<u64, String>,
-    /// The greatest incarnation heard of each other keeper.
-    newest: BTreeMap<String, u64>,
+    /// The greatest incarnation seen of each server that sent raft messages.
+    newest_incarnations: BTreeMap<String, u64>,
     displaced: Option<FatalError>,
-    /// Messages of the agreement from earlier starts, or from who is no keeper.
+    /// Raft messages that were dropped, as they came from an earlier incarnation or from no consensus server.
     pub fenced_messages: u64,
-    /// Packets of the membership that were not taken, by why.
+    /// Rejected packets of the membership protocol, by reason.
     pub rejected_packets: BTreeMap<membership::PacketRejection, u64>,
 }
 
 impl ConsensusServer {
-    /// One that begins.
-    pub fn new(keeper: Replica, members: Membership, names: BTreeMap<u64, String>) -> ConsensusServer {
-        let (newest, displaced, fenced, not_heard) = Default::default();
+    /// Joins a replica and a membership. `names` are those of the configured servers, by raft id.
+    pub fn new(replica: Replica, membership: Membership, names: BTreeMap<u64, String>) -> ConsensusServer {
         ConsensusServer {
-            replica: keeper,
-            membership: members,
+            replica,
+            membership,
             names,
-            newest,
-            displaced,
-            fenced_messages: fenced,
-            rejected_packets: not_heard,
+            newest_incarnations: BTreeMap::new(),
+            displaced: None,
+            fenced_messages: 0,
+            rejected_packets: BTreeMap::new(),
         }
     }
 
-    /// Itself, as others know it.
+    /// This server as other members know it.
     pub fn local_member(&self) -> &Member {
         self.membership.local_member()
     }
 
-    /// Who is there.
+    /// The membership.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// A keeper's name.
+    /// The name of the server with this raft id.
     pub fn server_name(&self, id: u64) -> Option<&str> {
         self.names.get(&id).map(String::as_str)
     }
 
-    /// Whether it must end; the host looks after each call, before it says anything.
+    /// Whether the server must end. The host checks this after each call, before it sends anything.
     pub fn fatal_error(&self) -> Option<FatalError> {
         if self.replica.has_lost_state() { Some(FatalError::LostState) } else { self.displaced.clone() }
     }
 
-    /// A tick has passed; `unix_ms` is the wall clock, for people alone.
+    /// Advances the clock by one tick. `unix_ms` is the wall clock; it is only shown to operators.
     pub fn tick(&mut self, now: Duration, unix_ms: u64) -> Output {
         let mut output = Output { replica: self.replica.tick(now, unix_ms), ..Output::default() };
-        let told = self.membership.tick(now);
-        self.collect_membership_actions(told, &mut output);
+        let actions = self.membership.tick(now);
+        self.collect_membership_actions(actions, &mut output);
         output
     }
 
-    /// Something was heard.
+    /// Handles a message. One of a later incarnation of the own name displaces this server.
     pub fn handle_message(&mut self, now: Duration, from: &PeerId, message: Message) -> Output {
-        let own = (&self.membership.local_member().name, self.membership.local_member().incarnation);
-        if from.name == *own.0 && from.incarnation > own.1 {
+        let own = self.membership.local_member();
+        if from.name == own.name && from.incarnation > own.incarnation {
             self.displaced = Some(FatalError::Displaced(from.incarnation, from.name.clone()));
             return Output::default();
         }
@@ -115,8 +115,8 @@
             Message::Membership(bytes) => {
                 let mut output = Output::default();
                 match self.membership.handle_packet(now, &bytes) {
-                    Ok(told) => self.collect_membership_actions(told, &mut output),
-                    Err(why) => *self.rejected_packets.entry(why).or_default() += 1,
+                    Ok(actions) => self.collect_membership_actions(actions, &mut output),
+                    Err(rejection) => *self.rejected_packets.entry(rejection).or_default() += 1,
                 }
                 output
             }
@@ -124,35 +124,35 @@
         }
     }
 
-    /// Whether this word on the agreement is that of a keeper, in its latest start.
+    /// Whether the sender is a consensus server in the latest incarnation that was seen of it.
     fn is_current_server(&mut self, from: &PeerId) -> bool {
         if !self.names.values().any(|name| *name == from.name) {
             return false;
         }
-        let newest = self.newest.entry(from.name.clone()).or_default();
+        let newest = self.newest_incarnations.entry(from.name.clone()).or_default();
         *newest = from.incarnation.max(*newest);
         from.incarnation == *newest
     }
 
-    /// It goes: nobody has to find that out.
+    /// Leaves the membership. The datagrams inform other members, so that they need not detect a failure.
     pub fn leave(&mut self) -> Output {
         let mut output = Output::default();
-        let told = self.membership.leave();
-        self.collect_membership_actions(told, &mut output);
+        let actions = self.membership.leave();
+        self.collect_membership_actions(actions, &mut output);
         output
     }
 
-    fn collect_membership_actions(&mut self, told: Vec<membership::Action>, output: &mut Output) {
-        for action in told {
+    fn collect_membership_actions(&mut self, actions: Vec<membership::Action>, output: &mut Output) {
+        for action in actions {
             match action {
                 membership::Action::Send(to, bytes) => {
-                    output.datagrams.push((to, Message::Membership(bytes)))
+                    output.datagrams.push((to, Message::Membership(bytes)));
                 }
                 membership::Action::Joined(member) => output.joined.push(member),
                 membership::Action::Left(member) => output.left.push(member),
                 membership::Action::Rejoined => {}
                 membership::Action::IncarnationRaised(incarnation) => {
-                    output.raised_incarnation = Some(incarnation)
+                    output.raised_incarnation = Some(incarnation);
                 }
                 membership::Action::Displaced(by) => {
                     self.displaced = Some(FatalError::Displaced(by.incarnation, by.name));
--- a/crates/control-plane/src/record.rs
+++ b/crates/control-plane/src/record.rs
@@ -1,14 +1,14 @@
-//! A decision: numbered, chained to the one before by its hash.
+//! Records: numbered decisions, each of which contains the hash of the one before.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The count of decisions up to and with this one; 0 is before the first.
+/// The number of a record, counted from 1; 0 is the version of an empty view.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Version(pub u64);
 
 impl Version {
-    /// The one after it.
+    /// The next version.
     pub fn next(self) -> Version {
         Version(self.0.saturating_add(1))
     }
@@ -20,7 +20,7 @@
     }
 }
 
-/// The hash of a record, over all of it and so over all before it.
+/// The BLAKE3 hash of a record. As a record contains the hash before it, it covers the whole history.
 #[derive(Clone, Copy, Default, Deserialize, PartialEq, Eq, Hash, Serialize)]
 pub struct Hash(pub [u8; 32]);
 
@@ -30,93 +30,97 @@
     }
 }
 
-/// What a record is about, by a number that later builds add to.
+/// What the body of a record means. Later builds may know more kinds.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct RecordKind(pub u16);
 
 impl RecordKind {
-    /// A note for people, which changes nothing.
+    /// A note to operators, without effect.
     pub const NOTE: RecordKind = RecordKind(1);
-    /// A state of a hall or region.
+    /// The states of zones.
     pub const ZONE_STATES: RecordKind = RecordKind(2);
-    /// All automatic moves stand still, or go on.
+    /// Automatic transitions are frozen, or no longer so.
     pub const FREEZE: RecordKind = RecordKind(3);
-    /// The sidecars' configuration, and how far it is spread.
+    /// The sidecars' configuration and the progress of its rollout.
     pub const CONFIG: RecordKind = RecordKind(4);
 }
 
-/// The largest body, in bytes: what an operator's largest plan may need.
+/// Bound on the bytes of a body: what an operator's largest plan needs.
 pub const MAX_BODY_BYTES: usize = 1 << 20;
-/// The longest key, name and reason, in bytes.
+/// Bound on the bytes of a key, a name and a reason.
 pub const MAX_TEXT_BYTES: usize = 200;
 
-/// What is proposed to be decided.
+/// A proposed decision.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Proposal {
-    /// Sets it apart from others; one that comes twice is decided once.
+    /// Unique among proposals: one that is sent twice is decided once.
     pub id: u64,
-    /// What it is about; it supersedes what was decided of this key before.
+    /// What it is about. It supersedes the record of the same key.
     pub key: String,
-    /// Its kind.
+    /// What the body means.
     pub kind: RecordKind,
-    /// What is decided, in the form of its kind.
+    /// The decision, encoded as its kind prescribes.
     pub body: Vec<u8>,
-    /// Who.
+    /// Who proposed it: an operator or a process.
     pub by: String,
-    /// Why.
+    /// The reason, for operators.
     pub why: String,
-    /// Only where the key's newest version is this one, if it is said: two that decide at once don't both.
+    /// If set, the proposal is valid only while the key's record has this version (0: none). Of two proposals that start from
+    /// the same state only one is decided.
     pub expected_version: Option<Version>,
 }
 
-/// Why a proposal makes no sense.
+/// A field of a proposal is out of its bounds.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{field}: {problem}")]
 pub struct InvalidProposal {
     /// The field.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// What is allowed.
     pub problem: &'static str,
 }
 
 impl Proposal {
-    /// Holds it to its bounds.
+    /// Checks the bounds of all fields.
     ///
     /// # Errors
-    /// The first field that is out of them.
+    /// The first field that is out of its bounds.
     pub fn validate(&self) -> Result<(), InvalidProposal> {
-        let bad = |field, problem| Err(InvalidProposal { field, problem });
-        let key = |c: char| c.is_ascii_graphic();
+        let invalid = |field, problem| Err(InvalidProposal { field, problem });
         match self {
-            p if p.key.is_empty() || p.key.len() > MAX_TEXT_BYTES => bad("key", "allowed: 1 to 200 bytes"),
-            p if !p.key.chars().all(key) => bad("key", "allowed: visible ASCII without spaces"),
-            p if p.body.len() > MAX_BODY_BYTES => bad("body", "allowed: up to 1 MiB"),
-            p if p.by.is_empty() || p.by.len() > MAX_TEXT_BYTES => bad("by", "allowed: 1 to 200 bytes"),
-            p if p.why.len() > MAX_TEXT_BYTES => bad("why", "allowed: up to 200 bytes"),
+            p if p.key.is_empty() || p.key.len() > MAX_TEXT_BYTES => {
+                invalid("key", "allowed: 1 to 200 bytes")
+            }
+            p if !p.key.chars().all(|c| c.is_ascii_graphic()) => {
+                invalid("key", "allowed: visible ASCII without spaces")
+            }
+            p if p.body.len() > MAX_BODY_BYTES => invalid("body", "allowed: up to 1 MiB"),
+            p if p.by.is_empty() || p.by.len() > MAX_TEXT_BYTES => invalid("by", "allowed: 1 to 200 bytes"),
+            p if p.why.len() > MAX_TEXT_BYTES => invalid("why", "allowed: up to 200 bytes"),
             _ => Ok(()),
         }
     }
 }
 
-/// A decision.
+/// A decision. The order of its fields is part of the stored format and of its hash.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Record {
-    /// Its number.
+    /// Its version: one more than that of the record before.
     pub version: Version,
-    /// The term in which it was decided.
+    /// The raft term in which it was committed.
     pub term: u64,
-    /// The hash of the one before; of the first, that of an empty chain.
+    /// The hash of the record before; all zero in the first one.
     pub previous_hash: Hash,
-    /// When its leader proposed it, in milliseconds of Unix time by its clock: for people alone.
+    /// When it was proposed, in milliseconds of Unix time by a replica's wall clock. Only shown to operators.
     pub at_ms: u64,
-    /// What was proposed.
+    /// The proposal that was decided.
     pub proposal: Proposal,
 }
 
 impl Record {
-    /// Its hash. The codec's form is canonical: equal records have equal bytes.
+    /// Its hash. Equal records have equal encodings, so replicas agree on it.
     pub fn hash(&self) -> Hash {
-        // Plain data into a growing buffer: it never fails.
+        // Plain data into a growing buffer: encoding can't fail.
         let bytes = postcard::to_allocvec(self).unwrap_or_default();
         Hash(*blake3::hash(&bytes).as_bytes())
     }
--- a/crates/control-plane/src/view.rs
+++ b/crates/control-plane/src/view.rs
@@ -1,46 +1,46 @@
-//! What is decided: the newest record of each key, and where in the chain that is.
+//! The view: the newest record of each key, as of a version. And the latest records, for processes that are a little behind.
 
 use crate::record::{Hash, Record, Version};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Keys at the most; one more is refused until another is superseded.
+/// Bound on keys. A record with one more key is rejected; keys are never removed.
 pub const MAX_KEYS: usize = 4096;
-/// Bytes of all bodies at the most.
+/// Bound on the bytes of all bodies.
 pub const MAX_BYTES: usize = 16 << 20;
-/// Beside these there is room for small bodies: plans must not keep a hall from being left.
+/// Bytes beyond [`MAX_BYTES`] that only small records may use, so that large plans can't block a zone failover.
 pub const SMALL_RECORDS_RESERVE: usize = 2 << 20;
-/// So small.
+/// The largest body of a small record, in bytes.
 pub const SMALL_RECORD_BYTES: usize = 4096;
-/// Records kept behind the view for who is a little behind.
+/// Bound on the records in a [`RecordTail`].
 pub const MAX_TAIL_RECORDS: usize = 1024;
-/// Bytes of those at the most.
+/// Bound on the bytes of bodies in a [`RecordTail`].
 pub const MAX_TAIL_BYTES: usize = 4 << 20;
 
-/// Why a record does not follow.
+/// Why a record can't be applied.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ApplyError {
-    /// It is known already, with this very content.
+    /// Its version is already applied, and nothing known contradicts it.
     #[error("version {0} is known")]
     AlreadyKnown(Version),
-    /// Another content for a version that is known.
+    /// The record that was applied as this version is another one.
     #[error("version {0} has another content here")]
     Conflict(Version),
-    /// There is a gap before it.
+    /// Versions are missing between the view's, which is the second, and its own.
     #[error("version {0} does not follow {1}")]
     Gap(Version, Version),
-    /// It follows another chain than this one.
+    /// The hash of the record before it is not the view's.
     #[error("version {0} names another hash for the one before")]
     HashMismatch(Version),
-    /// It is out of its bounds.
+    /// Its proposal is out of its bounds.
     #[error("{0}")]
     InvalidProposal(#[from] crate::record::InvalidProposal),
-    /// There is no room for one more.
+    /// The view is full.
     #[error("no room: {MAX_KEYS} keys or {MAX_BYTES} bytes are held")]
     CapacityExceeded,
 }
 
-/// A view: a pure function of the records up to its version.
+/// The newest record of each key: a function of the records up to a version, and so the same for all that have applied them.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct View {
     version: Version,
@@ -49,12 +49,12 @@
 }
 
 impl View {
-    /// Up to which version.
+    /// The version of the last record that was applied.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// The hash of that version's record.
+    /// The hash of that record.
     pub fn hash(&self) -> Hash {
         self.hash
     }
@@ -64,29 +64,29 @@
         self.records.get(key)
     }
 
-    /// The newest record of each key, in the keys' order.
+    /// The newest record of each key, ordered by key.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.records.values()
     }
 
-    /// Bytes of all bodies.
+    /// The bytes of all bodies.
     pub fn bytes(&self) -> usize {
         self.records.values().map(|record| record.proposal.body.len()).sum()
     }
 
-    /// Whether this record may be the next one.
+    /// Checks whether a record can be applied next.
     ///
     /// # Errors
-    /// Why it does not follow.
+    /// It can't.
     pub fn validate_next(&self, record: &Record) -> Result<(), ApplyError> {
         let version = record.version;
         if version <= self.version {
-            let same = version == self.version && record.hash() == self.hash;
-            let newest = self.get(&record.proposal.key).is_some_and(|known| known == record);
-            // Of one that is superseded nothing is known any more: it is old, and no contradiction.
-            let contradicts = version == self.version && !same
+            let is_last = version == self.version && record.hash() == self.hash;
+            let is_newest_of_key = self.get(&record.proposal.key).is_some_and(|known| known == record);
+            // Superseded records are not kept, so one of their versions can't be contradicted.
+            let contradicts = version == self.version && !is_last
                 || self.records.values().any(|known| known.version == version && known != record);
-            return Err(match (same || newest, contradicts) {
+            return Err(match (is_last || is_newest_of_key, contradicts) {
                 (false, true) => ApplyError::Conflict(version),
                 _ => ApplyError::AlreadyKnown(version),
             });
@@ -102,19 +102,19 @@
     }
 
     fn check_capacity(&self, record: &Record) -> Result<(), ApplyError> {
-        let held = self.get(&record.proposal.key);
-        let more = held.is_none() && self.records.len() >= MAX_KEYS;
-        let before = held.map_or(0, |known| known.proposal.body.len());
-        let bytes = self.bytes() - before + record.proposal.body.len();
-        let small = record.proposal.body.len() <= SMALL_RECORD_BYTES;
-        let most = MAX_BYTES + if small { SMALL_RECORDS_RESERVE } else { 0 };
-        if more || bytes > most { Err(ApplyError::CapacityExceeded) } else { Ok(()) }
+        let superseded = self.get(&record.proposal.key);
+        let exceeds_keys = superseded.is_none() && self.records.len() >= MAX_KEYS;
+        let superseded_bytes = superseded.map_or(0, |known| known.proposal.body.len());
+        let bytes = self.bytes() - superseded_bytes + record.proposal.body.len();
+        let is_small = record.proposal.body.len() <= SMALL_RECORD_BYTES;
+        let max_bytes = MAX_BYTES + if is_small { SMALL_RECORDS_RESERVE } else { 0 };
+        if exceeds_keys || bytes > max_bytes { Err(ApplyError::CapacityExceeded) } else { Ok(()) }
     }
 
-    /// Takes the next record.
+    /// Applies the next record.
     ///
     /// # Errors
-    /// Why it does not follow; nothing has changed then.
+    /// It can't be applied; nothing has changed then.
     pub fn apply(&mut self, record: Record) -> Result<(), ApplyError> {
         self.validate_next(&record)?;
         (self.version, self.hash) = (record.version, record.hash());
@@ -122,23 +122,24 @@
         Ok(())
     }
 
-    /// Whether all of it holds together, as far as one view can tell: for one that came from outside.
+    /// Whether the view is consistent in itself, as far as that shows without its history. For views from other processes.
     pub fn is_consistent(&self) -> bool {
         let newest = self.records.values().max_by_key(|record| record.version);
-        let ends = match newest {
+        let ends_with_newest = match newest {
             None => self.version == Version(0) && self.hash == Hash::default(),
             Some(newest) => newest.version == self.version && newest.hash() == self.hash,
         };
-        let each = |(key, record): (&String, &Record)| {
+        let is_valid_entry = |(key, record): (&String, &Record)| {
             *key == record.proposal.key && record.version > Version(0) && record.proposal.validate().is_ok()
         };
-        ends && self.records.iter().all(each)
+        ends_with_newest
+            && self.records.iter().all(is_valid_entry)
             && self.records.len() <= MAX_KEYS
             && self.bytes() <= MAX_BYTES + SMALL_RECORDS_RESERVE
     }
 }
 
-/// The last records, for who is a little behind.
+/// The latest records, with which a process that is a little behind is brought up to date without a snapshot.
 #[derive(Clone, Debug, Default)]
 pub struct RecordTail {
     records: VecDeque<Record>,
@@ -146,7 +147,7 @@
 }
 
 impl RecordTail {
-    /// One more, the newest.
+    /// Adds the newest record and drops the oldest ones that exceed the bounds.
     pub fn push(&mut self, record: Record) {
         self.bytes += record.proposal.body.len();
         self.records.push_back(record);
@@ -158,18 +159,18 @@
         }
     }
 
-    /// Nothing of it follows what comes next.
+    /// Drops all records, as a snapshot has taken their place and the next record does not follow them.
     pub fn clear(&mut self) {
         *self = RecordTail::default();
     }
 
-    /// All that follows a version, at most so many; none where some of it is gone.
-    pub fn after(&self, version: Version, most: usize) -> Option<Vec<Record>> {
+    /// Up to `max_records` records that follow a version; none if the first of them is not kept.
+    pub fn after(&self, version: Version, max_records: usize) -> Option<Vec<Record>> {
         let first = self.records.front()?.version;
         if version.next() < first {
             return None;
         }
         let skipped = (version.0 + 1 - first.0) as usize;
-        Some(self.records.iter().skip(skipped).take(most).cloned().collect())
+        Some(self.records.iter().skip(skipped).take(max_records).cloned().collect())
     }
 }
