--- a/crates/zone-failover/src/signals/zone_history.rs
+++ b/crates/zone-failover/src/signals/zone_history.rs
@@ -15,6 +15,10 @@
 const MIN_PEAK_TIME_CONSTANTS: f64 = 3.0;
 /// Calls that take this multiple of the baseline do not count for the baseline.
 const MAX_BASELINE_SLOWDOWN: f64 = 2.0;
+/// Lowest baseline that [`MAX_BASELINE_SLOWDOWN`] applies to.
+const MIN_BASELINE_LATENCY_RATIO: f64 = 0.1;
+/// Expected latencies, in milliseconds, up to which a latency ratio is taken as 1.
+const MIN_EXPECTED_MS: f64 = 0.01;
 /// Calls below which a baseline takes in calls of any latency.
 const MIN_BASELINE_CALLS: f64 = 10.0;
 /// Seconds between two digests beyond which the gap does not count as time of service.
@@ -73,7 +77,7 @@
         } else {
             1.0
         };
-        let is_usual = took_ms <= expected_ms * latency_ratio.max(0.1) * MAX_BASELINE_SLOWDOWN
+        let is_usual = took_ms <= expected_ms * latency_ratio.max(MIN_BASELINE_LATENCY_RATIO) * MAX_BASELINE_SLOWDOWN
             || self.baseline_served.sum < MIN_BASELINE_CALLS;
         let gap_s = now.saturating_sub(self.baseline_updated_at).as_secs_f64();
         self.baseline_updated_at = now;
@@ -96,7 +100,7 @@
         // The weight of a decaying sum approaches its time constant only after a while.
         let weight_s = RATE_TIME_CONSTANT_S * (1.0 - (-self.observed_s(now) / RATE_TIME_CONSTANT_S).exp());
         let per_s = |sum: DecayingSum| value(sum) / weight_s.max(MIN_RATE_INTERVAL_S);
-        let ratio = |took: f64, expected: f64| if expected > 0.01 { took / expected } else { 1.0 };
+        let ratio = |took: f64, expected: f64| if expected > MIN_EXPECTED_MS { took / expected } else { 1.0 };
         // The baseline is not read as of `now`: it changes with later calls and not with time.
         let baseline_s = self.baseline_seconds.sum.max(MIN_RATE_INTERVAL_S);
         ZoneStatistics {
--- a/crates/zone-failover/src/state_machine.rs
+++ b/crates/zone-failover/src/state_machine.rs
@@ -1,13 +1,16 @@
-//! What follows for halls from what is seen of them: who is left, probed, returned to, and by what pace.
+//! The zone state machine: decides which zones are left, probed and returned to, and at which pace.
 //!
-//! One machine for both ways of going: at the keeper that leads, on all sidecars' evidence, its moves become versions; in a
-//! sidecar that has lost the keepers, on its own calls, its moves are its own. It reads no clock and draws nothing.
+//! The same machine runs in two places. On the leading consensus server it takes in the evidence of all sidecars, and its
+//! proposals become versions of the fleet view. In a sidecar that has lost the consensus servers it takes in that sidecar's
+//! own calls alone, and its proposals apply to that sidecar alone. It reads no clock and draws no random numbers; all times
+//! are of the caller's monotonic clock.
 
-use crate::signals::{Verdict, ZoneSignals};
-use crate::zone_states::{Baseline, OverrideAction, ZoneRecord, ZoneState, ZoneStates, tier_of, zone_of};
+use crate::signals::ZoneSignals;
+use crate::zone_states::{OverrideAction, ZoneState, ZoneStates, zone_of};
 use curlewhub_config::fleet::ZoneFailoverConfig;
-use curlewhub_control_plane::evidence::Digest;
+use curlewhub_control_plane::evidence::{CallCounts, Digest};
 use std::collections::{BTreeMap, BTreeSet};
+use std::ops::ControlFlow;
 use std::time::Duration;
 
 mod guards;
@@ -15,404 +18,341 @@
 mod tracking;
 mod transitions;
 mod zone_pairs;
+mod zone_records;
 
-use probes::{Probes, turn};
-use tracking::{Along, Since, Step};
+use probes::{ProbeHistory, ProbeTarget};
+use tracking::{OutcomeCounts, ResidualTraffic, ZoneTimes};
+use zone_pairs::{CutHistory, ZonePair};
 
-/// What is seen by some only is waited for so long, before it is taken for a cut of their way alone.
-const OTHERS_WITHIN: Duration = Duration::from_millis(500);
-/// What a hall's others say well of it counts if they said it so long after it was first seen ill: later than any call
-/// that went out before.
-const SAID_SINCE: Duration = Duration::from_millis(150);
-/// A move that is proposed is waited for so long.
-const DECIDED_WITHIN: Duration = Duration::from_millis(600);
-/// Sidecars of a hall that probe for it at once, probes of each, and how soon again.
-const PROBERS: usize = 2;
-const PROBES_EACH: u32 = 2;
-const PROBE_AGAIN: Duration = Duration::from_millis(250);
-/// One that is suspect for longer than this, and not more, is probed so seldom.
-const SUSPECT_MOST: Duration = Duration::from_secs(2);
-/// One that answers is probed so many times as often, for the few probes that let calls in.
-const ANSWERING: u32 = 4;
-/// Halls whose sidecars probe one that is suspect, at the most.
-const PROBING_HALLS: usize = 3;
-/// Parts of a step's calls that may be lost, or be turned away, and how many times as long as before they may take, for it to
-/// be good; beyond twice that it is bad.
-const LOST_GOOD: f64 = 0.02;
-const FULL_GOOD: f64 = 0.05;
-const STRETCH_GOOD: f64 = 1.6;
+/// Time after which a proposal that was not decided is made again.
+const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(600);
+/// Interval at which old evidence is dropped.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
+/// Probe results that are kept, as a multiple of `probes_required`.
+const PROBE_HISTORY_FACTOR: usize = 2;
+/// Faults in a row beyond which a cool-down is doubled no further.
+const MAX_COUNTED_FAULTS: u32 = 16;
+/// Share of calls lost or failed up to which service is good.
+const MAX_GOOD_LOSS: f64 = 0.02;
+/// Share of calls rejected up to which service is good.
+const MAX_GOOD_REJECTION: f64 = 0.05;
+/// Latency, as a multiple of the baseline, up to which service is good.
+const MAX_GOOD_LATENCY_RATIO: f64 = 1.6;
 
-/// What the machine is told of the world.
+/// What the machine must know at a tick beside evidence and decided states.
 #[derive(Clone, Debug, Default)]
 pub struct Environment {
-    /// Sidecars that are there: by hall, their names.
+    /// Names of the sidecars that are alive, sorted, by zone.
     pub sidecars: BTreeMap<String, Vec<String>>,
-    /// Operator overrides that have not expired, by hall or region.
+    /// Operator overrides that have not expired, by zone, tier zone or region.
     pub overrides: BTreeMap<String, ActiveOverride>,
-    /// All automatic moves stand still.
+    /// Whether automatic transitions are frozen; overrides still apply.
     pub frozen: bool,
-    /// Turns that draw nothing: whose turn it is to probe goes by it.
+    /// Counter of ticks, by which sidecars take turns with probes.
     pub turn: u64,
 }
 
-/// An operator override.
+/// An operator override that has not expired.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ActiveOverride {
     /// What the operator wants.
     pub action: OverrideAction,
-    /// Why, and who.
+    /// The operator's reason and name.
     pub why: String,
 }
 
-/// How a hall is to stand next.
-struct Change {
+/// The state that a zone is to change to.
+struct StateChange {
     state: ZoneState,
     why: String,
-    /// An operator override holds it there.
-    by_hand: bool,
+    overridden: bool,
 }
 
-impl Change {
-    fn to(state: ZoneState, why: impl Into<String>) -> Change {
-        Change { state, why: why.into(), by_hand: false }
+impl StateChange {
+    fn automatic(state: ZoneState, why: impl Into<String>) -> StateChange {
+        StateChange { state, why: why.into(), overridden: false }
     }
 
-    fn overridden(state: ZoneState, why: String) -> Change {
-        Change { state, why, by_hand: true }
+    fn overridden(state: ZoneState, why: String) -> StateChange {
+        StateChange { state, why, overridden: true }
     }
 }
 
-/// A move of one hall.
+/// A proposed change of state of one zone, or of one zone pair.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Transition {
-    /// The hall.
+    /// The zone; for a pair `FROM>TO`, with the states `Serving` and `Left`.
     pub zone: String,
-    /// How it stood.
+    /// The state before.
     pub from: ZoneState,
-    /// How it is to stand.
+    /// The state after.
     pub to: ZoneState,
-    /// Why.
+    /// The reason, for operators.
     pub why: String,
 }
 
-/// What the machine wants.
+/// What the host is to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// This is to be decided.
+    /// Have new zone states decided.
     Propose {
-        /// How all halls are to stand.
+        /// The complete zone states.
         states: ZoneStates,
-        /// What moves by it.
+        /// The changes that they contain.
         transitions: Vec<Transition>,
     },
-    /// A sidecar is to probe a hall, at once.
+    /// Have a sidecar probe a zone at once.
     Probe {
         /// The sidecar's name.
         sidecar: String,
-        /// The hall.
+        /// The zone to be probed.
         zone: String,
-        /// How many probes.
+        /// Number of probes.
         count: u32,
     },
 }
 
-/// The machine.
+/// One tick of the machine: its inputs, and the effects so far.
+struct TickContext<'a> {
+    now: Duration,
+    environment: &'a Environment,
+    effects: Vec<Effect>,
+}
+
+/// The zone state machine.
 #[derive(Clone, Debug)]
 pub struct ZoneStateMachine {
     settings: ZoneFailoverConfig,
-    /// What evidence shows.
+    /// The evidence on zones and zone pairs.
     pub signals: ZoneSignals,
+    /// The states as decided.
     zone_states: ZoneStates,
-    since: BTreeMap<String, Since>,
-    steps: BTreeMap<String, Step>,
-    along: BTreeMap<String, Along>,
-    /// By the hall that probes, empty for all, and the one that is probed.
-    probes: BTreeMap<(String, String), Probes>,
-    /// Ways that were cut: when last, and how often in a row.
-    cuts: BTreeMap<(String, String), (Duration, u32)>,
-    asked_until: Duration,
-    forget_at: Duration,
+    times: BTreeMap<String, ZoneTimes>,
+    /// Outcomes in the current step of each returning zone.
+    step_outcomes: BTreeMap<String, OutcomeCounts>,
+    residual_traffic: BTreeMap<String, ResidualTraffic>,
+    probes: BTreeMap<ProbeTarget, ProbeHistory>,
+    cuts: BTreeMap<ZonePair, CutHistory>,
+    next_proposal_at: Duration,
+    next_expiry_at: Duration,
 }
 
 impl ZoneStateMachine {
-    /// One that has seen nothing.
-    pub fn new(rules: ZoneFailoverConfig) -> ZoneStateMachine {
-        let (signals, zone_states, since, steps, along, probes, cuts, asked_until, forget_at) =
-            Default::default();
+    /// A machine without evidence, for which all zones serve.
+    pub fn new(settings: ZoneFailoverConfig) -> ZoneStateMachine {
         ZoneStateMachine {
-            settings: rules,
-            signals,
-            zone_states,
-            since,
-            steps,
-            along,
-            probes,
-            cuts,
-            asked_until,
-            forget_at,
+            settings,
+            signals: ZoneSignals::default(),
+            zone_states: ZoneStates::default(),
+            times: BTreeMap::new(),
+            step_outcomes: BTreeMap::new(),
+            residual_traffic: BTreeMap::new(),
+            probes: BTreeMap::new(),
+            cuts: BTreeMap::new(),
+            next_proposal_at: Duration::ZERO,
+            next_expiry_at: Duration::ZERO,
         }
     }
 
-    /// How halls stand, as decided.
+    /// The zone states as decided.
     pub fn zone_states(&self) -> &ZoneStates {
         &self.zone_states
     }
 
-    /// What it goes by.
+    /// The settings that it decides by.
     pub fn settings(&self) -> &ZoneFailoverConfig {
         &self.settings
     }
 
-    /// The region of a hall, if it is in one.
+    /// The region of a zone or tier zone, if it is configured to be in one.
     pub fn region(&self, zone: &str) -> Option<&str> {
         let zone = zone_of(zone);
         let found = self.settings.regions.iter().find(|(_, zones)| zones.iter().any(|one| one == zone));
         found.map(|(region, _)| &region[..])
     }
 
-    /// A sidecar tells what its calls have shown.
+    /// Takes in a digest of the sidecar `name`.
     pub fn record(&mut self, now: Duration, name: &str, digest: &Digest) {
         self.signals.record(now, name, digest, &self.settings);
         for (zone, calls) in &digest.calls_by_zone {
-            if let Some(step) = self.steps.get_mut(zone) {
-                step.saw(calls);
+            if let Some(outcomes) = self.step_outcomes.get_mut(zone) {
+                outcomes.record(calls);
             }
-            if let Some(along) = self.along.get_mut(zone) {
-                along.saw(now, name, calls);
+            if let Some(traffic) = self.residual_traffic.get_mut(zone) {
+                traffic.record(now, name, calls);
             }
-            for from in [String::new(), digest.zone.clone()] {
-                if let Some(probes) = self.probes.get_mut(&(from, zone.clone())) {
-                    probes.saw(
-                        name,
-                        calls.probes_answered,
-                        calls.probes_unanswered,
-                        self.settings.probes_required as usize * 2,
-                    );
-                }
+            self.record_probes(name, &digest.zone, zone, calls);
+        }
+    }
+
+    fn record_probes(&mut self, name: &str, from: &str, to: &str, calls: &CallCounts) {
+        let max_results = self.settings.probes_required as usize * PROBE_HISTORY_FACTOR;
+        for target in [ProbeTarget::zone(to), ProbeTarget::zone_pair(from, to)] {
+            if let Some(history) = self.probes.get_mut(&target) {
+                history.record(name, calls.probes_answered, calls.probes_unanswered, max_results);
             }
         }
     }
 
-    /// This is decided of halls.
+    /// Takes over zone states that were decided.
     pub fn apply(&mut self, now: Duration, zone_states: &ZoneStates) {
         if self.zone_states == *zone_states {
             return;
         }
-        let names: BTreeSet<&String> =
+        let zones: BTreeSet<&String> =
             self.zone_states.zones.keys().chain(zone_states.zones.keys()).collect();
-        for zone in names {
-            let (before, after) = (self.zone_states.state(zone), zone_states.state(zone));
-            if before == after {
-                continue;
-            }
-            let since = self.since.entry(zone.clone()).or_default();
-            since.state = Some((after, now));
-            (since.ill, since.slow, since.well) = Default::default();
-            if after == ZoneState::Serving {
-                since.returned = Some(now);
-            }
-            self.steps.remove(zone);
-            self.along.remove(zone);
-            if after == ZoneState::Left {
-                self.along.insert(zone.clone(), Along::from(now));
-            }
-            if let ZoneState::Returning(_) = after {
-                self.steps.insert(zone.clone(), Step::default());
-            }
-            let kind = |state: ZoneState| std::mem::discriminant(&state);
-            if kind(before) != kind(after) {
-                // What its calls were before speaks of what it was.
-                self.signals.reset_zone(zone);
-                self.probes.remove(&(String::new(), zone.clone()));
-            }
+        let changes: Vec<(String, ZoneState, ZoneState)> = zones
+            .into_iter()
+            .map(|zone| (zone.clone(), self.zone_states.state(zone), zone_states.state(zone)))
+            .filter(|(_, before, after)| before != after)
+            .collect();
+        for (zone, before, after) in changes {
+            self.apply_change(now, &zone, before, after);
         }
-        self.probes.retain(|(from, to), _| from.is_empty() || zone_states.is_cut(from, to));
-        self.note_ways(now, zone_states);
+        self.record_pair_changes(now, zone_states);
         self.zone_states = zone_states.clone();
-        self.asked_until = now;
+        self.next_proposal_at = now;
     }
 
-    /// Ways that are cut from now on, or there again.
-    fn note_ways(&mut self, now: Duration, zone_states: &ZoneStates) {
-        let ways = |zone_states: &ZoneStates| -> BTreeSet<(String, String)> {
-            let of = |(from, cut): (&String, &BTreeMap<String, String>)| {
-                cut.keys().map(|to| (from.clone(), to.clone())).collect::<Vec<_>>()
-            };
-            zone_states.cut_pairs.iter().flat_map(of).collect()
-        };
-        let (before, after) = (ways(&self.zone_states), ways(zone_states));
-        for way in after.difference(&before) {
-            let known = self
-                .cuts
-                .get(way)
-                .copied()
-                .filter(|(at, _)| now.saturating_sub(*at) < self.settings.flap_window.0);
-            self.cuts.insert(way.clone(), (now, known.map_or(1, |(_, times)| times.saturating_add(1))));
+    fn apply_change(&mut self, now: Duration, zone: &str, before: ZoneState, after: ZoneState) {
+        let times = self.times(zone);
+        times.state_changed(now);
+        if after == ZoneState::Serving {
+            times.returned_at = Some(now);
+        }
+        self.step_outcomes.remove(zone);
+        self.residual_traffic.remove(zone);
+        match after {
+            ZoneState::Left => {
+                self.residual_traffic.insert(zone.to_owned(), ResidualTraffic::starting_at(now));
+            }
+            ZoneState::Returning(_) => {
+                self.step_outcomes.insert(zone.to_owned(), OutcomeCounts::default());
+            }
+            ZoneState::Serving | ZoneState::Leaving(_) => {}
         }
-        for (from, to) in before.symmetric_difference(&after) {
-            self.signals.reset_pair(from, to);
+        if std::mem::discriminant(&before) != std::mem::discriminant(&after) {
+            self.signals.reset_zone(zone);
+            self.probes.remove(&ProbeTarget::zone(zone));
         }
-        let soon = self.settings.flap_window.0;
-        self.cuts.retain(|way, (at, _)| after.contains(way) || now.saturating_sub(*at) < soon);
-    }
-
-    /// How long what was left so often in a row is let be.
-    fn rest(&self, times: u32) -> Duration {
-        let doubled = self.settings.cooldown.0.saturating_mul(1 << (times.clamp(1, 16) - 1));
-        doubled.min(self.settings.max_cooldown.0)
     }
 
-    /// Time has passed.
-    pub fn tick(&mut self, now: Duration, world: &Environment) -> Vec<Effect> {
-        if now >= self.forget_at {
+    /// Evaluates all zones and zone pairs. To be called several times a second.
+    pub fn tick(&mut self, now: Duration, environment: &Environment) -> Vec<Effect> {
+        if now >= self.next_expiry_at {
             self.signals.expire(now);
-            self.forget_at = now + Duration::from_secs(5);
+            self.next_expiry_at = now + EXPIRY_INTERVAL;
         }
-        let mut wants = Vec::new();
+        let mut context = TickContext { now, environment, effects: Vec::new() };
         let mut next = self.zone_states.clone();
-        let mut moves = Vec::new();
-        for zone in self.zones(world) {
-            if let Some(change) = self.next(now, &zone, world, &next, &mut wants) {
+        let mut transitions = Vec::new();
+        for zone in self.zones(environment) {
+            if let Some(change) = self.next_change(&mut context, &zone, &next) {
                 let from = next.state(&zone);
-                self.put(now, &mut next, &zone, &change);
-                moves.push(Transition { zone, from, to: change.state, why: change.why });
+                self.write_change(now, &mut next, &zone, &change);
+                transitions.push(Transition { zone, from, to: change.state, why: change.why });
             }
         }
-        self.ways(now, world, &mut next, &mut moves, &mut wants);
-        self.tidy(now, &mut next);
-        if next != self.zone_states && now >= self.asked_until {
-            self.asked_until = now + DECIDED_WITHIN;
-            wants.push(Effect::Propose { states: next, transitions: moves });
+        self.update_pairs(&mut context, &mut next, &mut transitions);
+        self.remove_settled_records(now, &mut next);
+        let mut effects = context.effects;
+        if next != self.zone_states && now >= self.next_proposal_at {
+            self.next_proposal_at = now + PROPOSAL_TIMEOUT;
+            effects.push(Effect::Propose { states: next, transitions });
         }
-        wants
+        effects
     }
 
-    /// All halls that anything is known of.
-    fn zones(&self, world: &Environment) -> Vec<String> {
-        let seen = self.signals.zones().map(str::to_owned);
-        let named = self.settings.regions.values().flatten().cloned();
-        let all = seen
-            .chain(named)
-            .chain(self.zone_states.zones.keys().cloned())
-            .chain(world.sidecars.keys().cloned());
-        let all: BTreeSet<String> = all.filter(|zone| !zone.is_empty()).collect();
-        all.into_iter().collect()
+    /// All zones that evidence, settings, decided states or sidecars name.
+    fn zones(&self, environment: &Environment) -> Vec<String> {
+        let all: BTreeSet<&str> = self
+            .signals
+            .zones()
+            .chain(self.settings.regions.values().flatten().map(String::as_str))
+            .chain(self.zone_states.zones.keys().map(String::as_str))
+            .chain(environment.sidecars.keys().map(String::as_str))
+            .filter(|zone| !zone.is_empty())
+            .collect();
+        all.into_iter().map(str::to_owned).collect()
     }
 
-    /// The sidecars that call the tier of a place, by their halls.
-    fn callers<'a>(&self, world: &'a Environment, to: &str) -> BTreeMap<&'a str, Vec<&'a String>> {
-        let of = |names: &'a Vec<String>| -> Vec<&'a String> {
+    /// The sidecars that call the tier of a tier zone, by their zones.
+    fn callers<'a>(&self, environment: &'a Environment, to: &str) -> BTreeMap<&'a str, Vec<&'a String>> {
+        let callers_among = |names: &'a Vec<String>| -> Vec<&'a String> {
             names.iter().filter(|name| self.signals.calls_tier_of(name, to)).collect()
         };
-        let zones = world.sidecars.iter().map(|(zone, names)| (&zone[..], of(names)));
-        zones.filter(|(_, names)| !names.is_empty()).collect()
+        let by_zone = environment.sidecars.iter().map(|(zone, names)| (&zone[..], callers_among(names)));
+        by_zone.filter(|(_, names)| !names.is_empty()).collect()
     }
 
-    /// The override of a hall: its own, that of its hall in all tiers, or that of its region.
-    fn override_of<'a>(&self, zone: &str, world: &'a Environment) -> Option<&'a ActiveOverride> {
-        let of = |name: &str| world.overrides.get(name);
-        let named = of(zone).or_else(|| of(zone_of(zone))).or_else(|| self.region(zone).and_then(of));
-        named.filter(|held| held.action != OverrideAction::Release)
+    /// The override of a tier zone: its own, that of its zone in all tiers, or that of its region.
+    fn override_of<'a>(&self, zone: &str, environment: &'a Environment) -> Option<&'a ActiveOverride> {
+        let named = |name: &str| environment.overrides.get(name);
+        let found =
+            named(zone).or_else(|| named(zone_of(zone))).or_else(|| self.region(zone).and_then(named));
+        found.filter(|active| active.action != OverrideAction::Release)
     }
 
-    /// How a hall is to stand next, and why; none where it stays.
-    fn next(
+    /// The change of a zone's state that is due, if any.
+    fn next_change(
         &mut self,
-        now: Duration,
+        context: &mut TickContext,
         zone: &str,
-        world: &Environment,
-        zone_states: &ZoneStates,
-        wants: &mut Vec<Effect>,
-    ) -> Option<Change> {
-        let state = self.zone_states.state(zone);
-        if let Some(ActiveOverride { action: what, why }) = self.override_of(zone, world) {
-            let was_by_hand = self.zone_states.zones.get(zone).is_some_and(|held| held.overridden);
-            match what {
-                OverrideAction::Leave => {
-                    let moves = state != ZoneState::Left || !was_by_hand;
-                    return moves.then(|| Change::overridden(ZoneState::Left, format!("by hand: {why}")));
-                }
-                OverrideAction::Hold => {
-                    let moves = state != ZoneState::Serving && !was_by_hand;
-                    return moves.then(|| Change::overridden(state, format!("held by hand: {why}")));
-                }
-                OverrideAction::Return if state == ZoneState::Left => {
-                    let first = self.first_step(zone);
-                    return Some(Change::to(ZoneState::Returning(first), format!("by hand: {why}")));
-                }
-                OverrideAction::Return | OverrideAction::Release => {}
-            }
+        next: &ZoneStates,
+    ) -> Option<StateChange> {
+        if let Some(active) = self.override_of(zone, context.environment)
+            && let ControlFlow::Break(change) = self.overridden_change(zone, active)
+        {
+            return change;
         }
-        if world.frozen || !self.settings.automatic {
+        if context.environment.frozen || !self.settings.automatic {
             return None;
         }
-        match state {
-            ZoneState::Serving => self.serving(now, zone, world, zone_states, wants),
-            ZoneState::Leaving(part) => self.leaving(now, zone, part, world, zone_states, wants),
-            ZoneState::Left => self.left(now, zone, world, zone_states, wants),
-            ZoneState::Returning(rate) => self.returning(now, zone, rate, world, wants),
+        match self.zone_states.state(zone) {
+            ZoneState::Serving => self.next_from_serving(context, zone, next),
+            ZoneState::Leaving(share) => self.next_from_leaving(context, zone, share, next),
+            ZoneState::Left => self.next_from_left(context, zone, next),
+            ZoneState::Returning(rate) => self.next_from_returning(context, zone, rate),
         }
     }
 
-    fn since(&mut self, zone: &str) -> &mut Since {
-        self.since.entry(zone.to_owned()).or_default()
+    /// What an override decides: `Break` with the change if one is due, or `Continue` with the automatic transitions.
+    fn overridden_change(&self, zone: &str, active: &ActiveOverride) -> ControlFlow<Option<StateChange>> {
+        let state = self.zone_states.state(zone);
+        let is_overridden = self.zone_states.zones.get(zone).is_some_and(|record| record.overridden);
+        let why = &active.why;
+        match active.action {
+            OverrideAction::Leave => {
+                let is_due = state != ZoneState::Left || !is_overridden;
+                let change = || StateChange::overridden(ZoneState::Left, format!("by hand: {why}"));
+                ControlFlow::Break(is_due.then(change))
+            }
+            OverrideAction::Hold => {
+                let is_due = state != ZoneState::Serving && !is_overridden;
+                let change = || StateChange::overridden(state, format!("held by hand: {why}"));
+                ControlFlow::Break(is_due.then(change))
+            }
+            OverrideAction::Return if state == ZoneState::Left => {
+                let returning = ZoneState::Returning(self.first_step(zone));
+                ControlFlow::Break(Some(StateChange::automatic(returning, format!("by hand: {why}"))))
+            }
+            OverrideAction::Return | OverrideAction::Release => ControlFlow::Continue(()),
+        }
     }
 
-    /// How long a hall has stood as it stands.
-    fn stood(&mut self, now: Duration, zone: &str) -> Duration {
-        let state = self.zone_states.state(zone);
-        let since = self.since(zone);
-        let (_, at) = *since.state.get_or_insert((state, now));
-        now.saturating_sub(at)
+    /// The cool-down after this many faults in a row: it doubles with each, up to `max_cooldown`.
+    fn cooldown(&self, faults: u32) -> Duration {
+        let doublings = faults.clamp(1, MAX_COUNTED_FAULTS) - 1;
+        self.settings.cooldown.0.saturating_mul(1 << doublings).min(self.settings.max_cooldown.0)
     }
 
-    /// A hall stands so from now on, in what is to be decided.
-    fn put(&self, now: Duration, zone_states: &mut ZoneStates, zone: &str, change: &Change) {
-        let Change { state, why, by_hand } = change;
-        let (state, by_hand) = (*state, *by_hand);
-        let seen = self.signals.statistics(now, zone);
-        let known = zone_states.zones.get(zone).cloned();
-        let stays = known
-            .as_ref()
-            .filter(|held| held.state != ZoneState::Serving || held.baseline.calls_per_s > 0.0);
-        let mut before = stays.map_or_else(Baseline::default, |held| held.baseline);
-        if known.as_ref().is_none_or(|held| held.state == ZoneState::Serving) {
-            before = Baseline {
-                calls_per_s: seen.baseline_per_s,
-                latency_ratio: seen.baseline_latency_ratio.max(0.01),
-            };
-        }
-        let mut flaps = known.as_ref().map_or(0, |held| held.flaps);
-        let was_left = known.as_ref().is_some_and(|held| held.state == ZoneState::Left);
-        if state == ZoneState::Left && !was_left && !by_hand {
-            flaps = flaps.saturating_add(1);
-        }
-        // Half a hall that is back bears half as much.
-        if let (ZoneState::Returning(_), true) = (state, was_left)
-            && let Some(probes) = self.probes.get(&(String::new(), zone.to_owned()))
-        {
-            before.calls_per_s *= probes.answered();
-        }
-        zone_states.zones.insert(
-            zone.to_owned(),
-            ZoneRecord { state, why: why.clone(), baseline: before, flaps, overridden: by_hand },
-        );
+    fn times(&mut self, zone: &str) -> &mut ZoneTimes {
+        self.times.entry(zone.to_owned()).or_default()
     }
 
-    /// What is served again for long enough needs no word any more.
-    fn tidy(&mut self, now: Duration, zone_states: &mut ZoneStates) {
-        let soon = self.settings.flap_window.0;
-        let served: Vec<String> = zone_states
-            .zones
-            .iter()
-            .filter(|(_, held)| held.state == ZoneState::Serving)
-            .map(|(zone, _)| zone.clone())
-            .collect();
-        for zone in served {
-            let returned = *self.since(&zone).returned.get_or_insert(now);
-            if now.saturating_sub(returned) >= soon {
-                zone_states.zones.remove(&zone);
-            }
-        }
+    /// How long a zone has been in its state, counted from the first look if that is later.
+    fn time_in_state(&mut self, now: Duration, zone: &str) -> Duration {
+        let since = *self.times(zone).state_since.get_or_insert(now);
+        now.saturating_sub(since)
     }
 }
--- a/crates/zone-failover/src/state_machine/probes.rs
+++ b/crates/zone-failover/src/state_machine/probes.rs
@@ -1,84 +1,140 @@
-//! Probes of a hall that is left, or of a way that is cut: whose turn it is, and what they come to.
+//! Probes of zones that are left and of zone pairs that are cut: who sends them, and what their answers show.
 
-use super::*;
+use super::{Effect, TickContext, ZoneStateMachine};
+use std::collections::BTreeSet;
+use std::time::Duration;
 
-/// Probes of a hall that is left, or of one that some halls' sidecars don't reach.
-#[derive(Clone, Debug, Default)]
-pub(super) struct Probes {
-    /// The last ones, the newest last: whether it was answered.
-    pub(super) last: Vec<bool>,
-    pub(super) by: BTreeSet<String>,
-    pub(super) next: Duration,
+/// Probes that a sidecar is asked for at once.
+pub(super) const PROBES_PER_REQUEST: u32 = 2;
+/// Factor of the probe rate once the latest probe was answered, so that a recovery is confirmed soon.
+const ANSWERED_PROBE_SPEEDUP: u32 = 4;
+/// Probe results that one digest can add, answered and unanswered alike.
+const MAX_RESULTS_PER_DIGEST: u32 = 16;
+
+/// What is probed, and by whose sidecars.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum ProbeTarget {
+    /// A zone, by the sidecars of all zones.
+    Zone(String),
+    /// A zone pair, by the sidecars of its first zone.
+    ZonePair { from: String, to: String },
 }
 
-impl ZoneStateMachine {
-    /// Has a hall that is left probed, by a few whose turn it is: of one hall, or of all.
-    pub(super) fn probe(
-        &mut self,
-        now: Duration,
-        from: &str,
-        to: &str,
-        world: &Environment,
-        wants: &mut Vec<Effect>,
-    ) {
-        let probes = self.probes.entry((from.to_owned(), to.to_owned())).or_default();
-        if now < probes.next {
-            return;
+impl ProbeTarget {
+    pub(super) fn zone(zone: &str) -> ProbeTarget {
+        ProbeTarget::Zone(zone.to_owned())
+    }
+
+    pub(super) fn zone_pair(from: &str, to: &str) -> ProbeTarget {
+        ProbeTarget::ZonePair { from: from.to_owned(), to: to.to_owned() }
+    }
+
+    fn probed_zone(&self) -> &str {
+        match self {
+            ProbeTarget::Zone(zone) | ProbeTarget::ZonePair { to: zone, .. } => zone,
         }
-        let apart = Duration::from_secs_f64(f64::from(PROBES_EACH) / self.settings.probes_per_s);
-        // Once it answers, whether it goes on to is seen soon.
-        let answers = probes.last.last() == Some(&true);
-        probes.next = now + if answers { apart / ANSWERING } else { apart };
-        let callers = self.callers(world, to);
-        let zones: Vec<&Vec<&String>> = callers
-            .iter()
-            .filter(|(zone, _)| from.is_empty() || **zone == from)
-            .map(|(_, names)| names)
-            .collect();
-        let Some(names) = zones.get(world.turn as usize % zones.len().max(1)) else { return };
-        for name in turn(names, world.turn / zones.len() as u64, 1) {
-            let (sidecar, zone) = (name.to_string(), to.to_owned());
-            wants.push(Effect::Probe { sidecar, zone, count: PROBES_EACH });
+    }
+
+    fn is_probed_from(&self, zone: &str) -> bool {
+        match self {
+            ProbeTarget::Zone(_) => true,
+            ProbeTarget::ZonePair { from, .. } => from == zone,
         }
     }
 }
 
-impl Probes {
-    pub(super) fn saw(&mut self, name: &str, there: u32, not_there: u32, most: usize) {
-        let new = std::iter::repeat_n(true, there.min(16) as usize)
-            .chain(std::iter::repeat_n(false, not_there.min(16) as usize));
-        self.last.extend(new);
-        let over = self.last.len().saturating_sub(most);
-        self.last.drain(..over);
-        if there > 0 {
-            self.by.insert(name.to_owned());
+/// The latest probe results of a target.
+#[derive(Clone, Debug, Default)]
+pub(super) struct ProbeHistory {
+    /// Whether each was answered, the newest last.
+    results: Vec<bool>,
+    /// Sidecars that had an answer.
+    answered_sidecars: BTreeSet<String>,
+    next_probe_at: Duration,
+}
+
+/// Probe results that show a recovery.
+pub(super) struct ProbesPassed {
+    pub(super) answered: usize,
+    pub(super) total: usize,
+    pub(super) sidecars: usize,
+}
+
+impl ProbeHistory {
+    /// Adds results of a sidecar, and drops the oldest beyond `max_results`.
+    pub(super) fn record(&mut self, sidecar: &str, answered: u32, unanswered: u32, max_results: usize) {
+        let results = |result: bool, count: u32| {
+            std::iter::repeat_n(result, count.min(MAX_RESULTS_PER_DIGEST) as usize)
+        };
+        self.results.extend(results(true, answered).chain(results(false, unanswered)));
+        let excess = self.results.len().saturating_sub(max_results);
+        self.results.drain(..excess);
+        if answered > 0 {
+            self.answered_sidecars.insert(sidecar.to_owned());
         }
     }
 
-    /// Whether enough of the last are answered, by enough sidecars: how many of how many.
-    pub(super) fn good(&self, wanted: usize, sidecars: usize) -> Option<(usize, usize)> {
-        let there = self.last.iter().filter(|there| **there).count();
-        // A hall of which less than two fifths answer is not back yet.
-        let enough = there >= wanted && there * 5 >= self.last.len() * 2;
-        // The newest ones answer: what was lost before it came back speaks no more.
-        let newest = self.last.iter().rev().take(wanted).filter(|there| **there).count();
-        (enough && newest * 5 >= wanted * 2 && self.by.len() >= sidecars.max(1))
-            .then_some((there, self.last.len()))
+    /// The results, if at least `required` are answered, by at least `min_sidecars` sidecars, and two fifths of all as well
+    /// as of the newest `required`, since losses from before the recovery may still be among the older ones.
+    pub(super) fn passed(&self, required: usize, min_sidecars: usize) -> Option<ProbesPassed> {
+        let (answered, total) = (self.answered(), self.results.len());
+        let newest_answered = self.results.iter().rev().take(required).filter(|result| **result).count();
+        let sidecars = self.answered_sidecars.len();
+        let passed = answered >= required
+            && answered * 5 >= total * 2
+            && newest_answered * 5 >= required * 2
+            && sidecars >= min_sidecars.max(1);
+        passed.then_some(ProbesPassed { answered, total, sidecars })
+    }
+
+    fn answered(&self) -> usize {
+        self.results.iter().filter(|result| **result).count()
     }
 
-    /// The part of the last ones that is answered.
-    pub(super) fn answered(&self) -> f64 {
-        let there = self.last.iter().filter(|there| **there).count();
-        there as f64 / self.last.len().max(1) as f64
+    /// The share of answered probes, 0 to 1.
+    pub(super) fn answered_share(&self) -> f64 {
+        self.answered() as f64 / self.results.len().max(1) as f64
+    }
+}
+
+impl ZoneStateMachine {
+    /// Asks the sidecar whose turn it is for probes of a target, once its probe interval is over.
+    pub(super) fn request_probes(&mut self, context: &mut TickContext, target: &ProbeTarget) {
+        let history = self.probes.entry(target.clone()).or_default();
+        if context.now < history.next_probe_at {
+            return;
+        }
+        let interval = Duration::from_secs_f64(f64::from(PROBES_PER_REQUEST) / self.settings.probes_per_s);
+        let last_was_answered = history.results.last() == Some(&true);
+        history.next_probe_at =
+            context.now + if last_was_answered { interval / ANSWERED_PROBE_SPEEDUP } else { interval };
+        let environment = context.environment;
+        let callers = self.callers(environment, target.probed_zone());
+        let sidecars_by_zone: Vec<&Vec<&String>> = callers
+            .iter()
+            .filter(|(zone, _)| target.is_probed_from(zone))
+            .map(|(_, names)| names)
+            .collect();
+        let zone_count = sidecars_by_zone.len();
+        let Some(sidecars) = sidecars_by_zone.get(environment.turn as usize % zone_count.max(1)) else {
+            return;
+        };
+        for sidecar in round_robin(sidecars, environment.turn / zone_count as u64, 1) {
+            context.effects.push(Effect::Probe {
+                sidecar: sidecar.clone(),
+                zone: target.probed_zone().to_owned(),
+                count: PROBES_PER_REQUEST,
+            });
+        }
     }
 }
 
-/// So many of these whose turn it is.
-pub(super) fn turn<'a>(
+/// The `count` names whose turn it is.
+pub(super) fn round_robin<'a>(
     names: &'a [&'a String],
     turn: u64,
     count: usize,
 ) -> impl Iterator<Item = &'a String> {
-    let begin = (turn as usize).wrapping_mul(count) % names.len().max(1);
-    names.iter().copied().cycle().skip(begin).take(count.min(names.len()))
+    let start = (turn as usize).wrapping_mul(count) % names.len().max(1);
+    names.iter().copied().cycle().skip(start).take(count.min(names.len()))
 }
--- a/crates/zone-failover/src/state_machine/tracking.rs
+++ b/crates/zone-failover/src/state_machine/tracking.rs
@@ -1,75 +1,86 @@
-//! What is counted and since when, for each hall: steps of a return, calls into a hall that is left, and times.
+//! What the state machine counts and times for each zone.
 
-use crate::zone_states::ZoneState;
 use curlewhub_control_plane::evidence::CallCounts;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Calls into a hall that is left are counted over this time.
-const ALONG_OVER: Duration = Duration::from_millis(1500);
+/// Window over which calls into a zone that is left are counted.
+const RESIDUAL_TRAFFIC_WINDOW: Duration = Duration::from_millis(1500);
 
-/// What a returning hall's step has brought.
+/// Call outcomes since a step of a recovery ramp began, or within a window.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Step {
+pub(super) struct OutcomeCounts {
     pub(super) served: u32,
     pub(super) lost: u32,
-    pub(super) full: u32,
-    pub(super) error: u32,
+    pub(super) rejected: u32,
+    pub(super) failed: u32,
     pub(super) took_ms: u32,
-    pub(super) usual_ms: u32,
+    pub(super) expected_ms: u32,
 }
 
-/// Calls of late into a hall that is left, by sidecars that have not left it.
-#[derive(Clone, Debug, Default)]
-pub(super) struct Along {
-    pub(super) since: Duration,
-    pub(super) step: Step,
-    pub(super) by: BTreeSet<String>,
-}
-
-/// Since when something holds of a hall.
-#[derive(Clone, Debug, Default)]
-pub(super) struct Since {
-    /// Its state is this, since then.
-    pub(super) state: Option<(ZoneState, Duration)>,
-    pub(super) ill: Option<Duration>,
-    pub(super) slow: Option<Duration>,
-    pub(super) well: Option<Duration>,
-    /// When it was last returned to.
-    pub(super) returned: Option<Duration>,
-    pub(super) probed: Option<Duration>,
-}
-
-impl Step {
-    /// All calls.
-    pub(super) fn calls(&self) -> u32 {
-        self.served + self.lost + self.full + self.error
+impl OutcomeCounts {
+    pub(super) fn total(&self) -> u32 {
+        self.served + self.lost + self.rejected + self.failed
     }
 
-    pub(super) fn saw(&mut self, calls: &CallCounts) {
+    pub(super) fn record(&mut self, calls: &CallCounts) {
         self.served += calls.served;
         self.lost += calls.lost();
-        self.full += calls.rejected;
-        self.error += calls.failed;
+        self.rejected += calls.rejected;
+        self.failed += calls.failed;
         self.took_ms += calls.took_ms;
-        self.usual_ms += calls.expected_ms;
+        self.expected_ms += calls.expected_ms;
     }
 }
 
-impl Along {
-    /// None yet, counted from now on.
-    pub(super) fn from(now: Duration) -> Along {
-        Along { since: now, ..Along::default() }
+/// Recent calls into a zone that is left, by sidecars that have not applied that state.
+#[derive(Clone, Debug, Default)]
+pub(super) struct ResidualTraffic {
+    window_start: Duration,
+    pub(super) outcomes: OutcomeCounts,
+    /// Sidecars with at least one served call.
+    pub(super) served_sidecars: BTreeSet<String>,
+}
+
+impl ResidualTraffic {
+    /// An empty window that begins at `now`.
+    pub(super) fn starting_at(now: Duration) -> ResidualTraffic {
+        ResidualTraffic { window_start: now, ..ResidualTraffic::default() }
     }
 
-    /// Counts a sidecar's calls; after [`ALONG_OVER`] it begins anew.
-    pub(super) fn saw(&mut self, now: Duration, name: &str, calls: &CallCounts) {
-        if now.saturating_sub(self.since) > ALONG_OVER {
-            *self = Along::from(now);
+    /// Counts a sidecar's calls, in a new window if [`RESIDUAL_TRAFFIC_WINDOW`] is over.
+    pub(super) fn record(&mut self, now: Duration, sidecar: &str, calls: &CallCounts) {
+        if now.saturating_sub(self.window_start) > RESIDUAL_TRAFFIC_WINDOW {
+            *self = ResidualTraffic::starting_at(now);
         }
-        self.step.saw(calls);
+        self.outcomes.record(calls);
         if calls.served > 0 {
-            self.by.insert(name.to_owned());
+            self.served_sidecars.insert(sidecar.to_owned());
         }
     }
 }
+
+/// Since when conditions of a zone have held; none while they do not.
+#[derive(Clone, Debug, Default)]
+pub(super) struct ZoneTimes {
+    pub(super) state_since: Option<Duration>,
+    /// Some calling zone's evidence is not healthy.
+    pub(super) suspect_since: Option<Duration>,
+    pub(super) slow_since: Option<Duration>,
+    /// Latencies of a zone in state `Leaving` are back to normal.
+    pub(super) recovered_since: Option<Duration>,
+    /// When it was last returned to in full.
+    pub(super) returned_at: Option<Duration>,
+    /// When sidecars were last asked to probe it as suspect.
+    pub(super) probed_at: Option<Duration>,
+}
+
+impl ZoneTimes {
+    /// Starts anew as the zone's state changes.
+    pub(super) fn state_changed(&mut self, now: Duration) {
+        self.state_since = Some(now);
+        self.suspect_since = None;
+        self.slow_since = None;
+        self.recovered_since = None;
+    }
+}
