--- a/crates/zone-failover/src/grants.rs
+++ b/crates/zone-failover/src/grants.rs
@@ -1,133 +1,166 @@
-//! Budgets of returning halls, parted among the sidecars that are there, by their need.
+//! Grants: the budgets of returning zones, divided among the sidecars by their demand.
 //!
-//! Only the keeper that leads and has been heard by a majority of late grants anything, and each grant ends by itself. What
-//! is granted and has not ended never comes to more than the hall's budget, whoever restarts, pauses or is lost meanwhile:
-//! a sidecar counts its grant's time from when it asked, and the keeper from when it answered.
+//! Only a leader with a recent quorum grants, and each grant expires by itself. Invariant: grants that have not expired
+//! never add up to more than a zone's budget, whichever process restarts, pauses or is lost. A sidecar therefore counts the
+//! validity of a grant from when it sent its digest, and the leader from when it answered, which is later.
 
 use crate::zone_states::{ZoneState, ZoneStates, tier_of};
 use curlewhub_config::fleet::ZoneFailoverConfig;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Clocks of two processes run apart by no more than this part.
+/// Bound on the ratio of the clock rates of two processes.
 const MAX_CLOCK_DRIFT: f64 = 1.01;
-/// A keeper that has come to lead grants nothing until what another one granted has ended: one that has led may have gone
-/// on for so long without a majority.
-const LED_ON: Duration = Duration::from_millis(1200);
+/// How long a previous leader may have granted after it lost its quorum. A new leader waits for that and for the validity
+/// of such a grant before its own first one.
+const PREVIOUS_LEADER_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// A grant that has not ended, as far as the keeper knows.
+/// A grant that may be in use, by the leader's clock.
 #[derive(Clone, Copy, Debug)]
-struct Out {
+struct Grant {
+    /// Calls a second.
     rate: f64,
-    until: Duration,
+    expires_at: Duration,
 }
 
-/// What the sidecars that may send into a returning hall need, together.
+/// The demand of the sidecars that may send into a returning zone.
 #[derive(Clone, Copy, Debug, Default)]
-struct Needs {
-    /// Only the hall's own sidecars may: its return is nearest to them.
-    own: bool,
-    sum: f64,
+struct ZoneDemand {
+    /// Only the zone's own sidecars may send, as they have demand.
+    own_sidecars_only: bool,
+    total_per_s: f64,
 }
 
-/// What is granted.
+/// The grants of one consensus server.
 #[derive(Clone, Debug, Default)]
 pub struct Grants {
-    /// By hall and sidecar: its grants that have not ended, the newest last.
-    granted_rate: BTreeMap<String, BTreeMap<String, Vec<Out>>>,
-    /// Their rates by hall: of each sidecar its greatest.
-    sums: BTreeMap<String, f64>,
-    needs: BTreeMap<String, Needs>,
-    /// Nothing is granted before this.
-    from: Option<Duration>,
-    /// Grants that were cut short, since others were still out.
+    /// Grants that have not expired, by zone and sidecar, the newest last.
+    grants: BTreeMap<String, BTreeMap<String, Vec<Grant>>>,
+    /// Granted calls a second by zone, with the highest grant of each sidecar.
+    granted_totals: BTreeMap<String, f64>,
+    demands: BTreeMap<String, ZoneDemand>,
+    /// When granting may begin; none while this server does not lead.
+    starts_at: Option<Duration>,
+    /// Grants that were reduced since other grants had not expired.
     pub truncated: u64,
 }
 
 impl Grants {
-    /// Whether it leads, as of now: one that begins to waits for the grants of the one before to end.
-    pub fn set_leading(&mut self, now: Duration, leads: bool, rules: &ZoneFailoverConfig) {
-        match (leads, self.from) {
-            (true, None) => {
-                self.from = Some(now + rules.grant_validity.0.mul_f64(MAX_CLOCK_DRIFT) + LED_ON)
-            }
+    /// Sets whether this server leads with a recent quorum. One that begins to waits until grants of the previous leader
+    /// have expired; one that ceases to forgets its grants.
+    pub fn set_leading(&mut self, now: Duration, leads: bool, settings: &ZoneFailoverConfig) {
+        match (leads, self.starts_at) {
+            (true, None) => self.starts_at = Some(now + held_validity(settings) + PREVIOUS_LEADER_TIMEOUT),
             (false, Some(_)) => *self = Grants { truncated: self.truncated, ..Grants::default() },
             _ => {}
         }
     }
 
-    /// What all sidecars need now: names, places, calls a second. Called some times a second, and not for each grant.
+    /// Takes in the demand of all sidecars: name, tier zone, calls a second. It visits every sidecar, so it is to be called
+    /// a few times a second and not for each grant.
     pub fn update_demand<'a>(
         &mut self,
         now: Duration,
         zone_states: &ZoneStates,
-        needs: impl Iterator<Item = (&'a str, &'a str, f64)> + Clone,
+        demands: impl Iterator<Item = (&'a str, &'a str, f64)> + Clone,
     ) {
-        let returning = |zone: &str| matches!(zone_states.state(zone), ZoneState::Returning(_));
-        self.granted_rate.retain(|zone, _| returning(zone));
-        self.needs.clear();
-        for zone in zone_states.zones.keys().filter(|zone| returning(zone)) {
-            let own = needs.clone().any(|(_, of, need)| of == zone && need > 0.0);
-            let may = |of: &str| if own { of == zone } else { tier_of(of) == tier_of(zone) };
-            let sum = needs.clone().filter(|(_, of, _)| may(of)).map(|(_, _, need)| need).sum();
-            self.needs.insert(zone.clone(), Needs { own, sum });
+        let is_returning = |zone: &str| matches!(zone_states.state(zone), ZoneState::Returning(_));
+        self.grants.retain(|zone, _| is_returning(zone));
+        self.demands.clear();
+        for zone in zone_states.zones.keys().filter(|zone| is_returning(zone)) {
+            let own_sidecars_only = demands.clone().any(|(_, from, rate)| from == zone && rate > 0.0);
+            let may_send = |from: &str| may_send(from, zone, own_sidecars_only);
+            let total_per_s =
+                demands.clone().filter(|(_, from, _)| may_send(from)).map(|(_, _, rate)| rate).sum();
+            self.demands.insert(zone.clone(), ZoneDemand { own_sidecars_only, total_per_s });
         }
-        for (zone, out) in &mut self.granted_rate {
-            out.retain(|_, grants| {
-                grants.retain(|one| now < one.until);
+        for (zone, by_sidecar) in &mut self.grants {
+            by_sidecar.retain(|_, grants| {
+                grants.retain(|grant| now < grant.expires_at);
                 !grants.is_empty()
             });
-            self.sums.insert(zone.clone(), out.values().map(|grants| greatest(grants)).sum());
+            let total = by_sidecar.values().map(|grants| highest_rate(grants)).sum();
+            self.granted_totals.insert(zone.clone(), total);
         }
     }
 
-    /// What one sidecar of a place, with its need, may send a second into each returning hall, until `rules.grant` after it
-    /// asked.
+    /// Grants a sidecar its share of the budget of each returning zone, by its demand `(name, tier zone, calls a second)`.
+    /// Returns zones and calls a second, valid for the setting `grant_validity` from when the sidecar sent its digest.
     pub fn grant(
         &mut self,
         now: Duration,
-        (name, of, need): (&str, &str, f64),
+        (name, from, demand): (&str, &str, f64),
         zone_states: &ZoneStates,
-        rules: &ZoneFailoverConfig,
+        settings: &ZoneFailoverConfig,
     ) -> Vec<(String, f64)> {
-        if self.from.is_none_or(|from| now < from) {
+        if self.starts_at.is_none_or(|starts_at| now < starts_at) {
             return Vec::new();
         }
+        let expires_at = now + held_validity(settings);
         let mut granted = Vec::new();
-        for (zone, held) in &zone_states.zones {
-            let ZoneState::Returning(budget) = held.state else { continue };
-            let Some(needs) = self.needs.get(zone).filter(|needs| needs.sum > 0.0) else { continue };
-            if (needs.own && of != zone) || tier_of(of) != tier_of(zone) {
+        for (zone, record) in &zone_states.zones {
+            let ZoneState::Returning(budget) = record.state else { continue };
+            let Some(zone_demand) = self.demands.get(zone).filter(|all| all.total_per_s > 0.0) else {
+                continue;
+            };
+            if !may_send(from, zone, zone_demand.own_sidecars_only) {
                 continue;
             }
-            let grants =
-                self.granted_rate.entry(zone.clone()).or_default().entry(name.to_owned()).or_default();
-            grants.retain(|one| now < one.until);
-            let sum = self.sums.entry(zone.clone()).or_default();
-            let (part, mine) = (budget * (need / needs.sum).min(1.0), greatest(grants));
-            // What others have is theirs until it ends.
-            let rate = part.min(budget - (*sum - mine)).max(0.0);
-            self.truncated += u64::from(rate < part);
+            let share = budget * (demand / zone_demand.total_per_s).min(1.0);
+            let rate = self.reserve(now, zone, name, Budget { share, total: budget, expires_at });
             if rate > 0.0 {
-                grants.push(Out { rate, until: now + rules.grant_validity.0.mul_f64(MAX_CLOCK_DRIFT) });
-                *sum += greatest(grants) - mine;
                 granted.push((zone.clone(), rate));
             }
         }
         granted
     }
 
-    /// What is out of a hall's budget.
+    /// Records a grant of a sidecar's share, or of what other sidecars' grants leave of the budget. Returns its rate.
+    fn reserve(&mut self, now: Duration, zone: &str, sidecar: &str, budget: Budget) -> f64 {
+        let by_sidecar = self.grants.entry(zone.to_owned()).or_default();
+        let grants = by_sidecar.entry(sidecar.to_owned()).or_default();
+        grants.retain(|grant| now < grant.expires_at);
+        let total = self.granted_totals.entry(zone.to_owned()).or_default();
+        let previous = highest_rate(grants);
+        let rate = budget.share.min(budget.total - (*total - previous)).max(0.0);
+        self.truncated += u64::from(rate < budget.share);
+        if rate > 0.0 {
+            grants.push(Grant { rate, expires_at: budget.expires_at });
+            *total += highest_rate(grants) - previous;
+        }
+        rate
+    }
+
+    /// Calls a second of a zone's budget that are granted and have not expired.
     pub fn granted_rate(&self, now: Duration, zone: &str) -> f64 {
-        let out = self.granted_rate.get(zone).into_iter().flat_map(BTreeMap::values);
-        out.map(|grants| {
-            grants.iter().filter(|one| now < one.until).map(|one| one.rate).fold(0.0, f64::max)
-        })
-        .sum()
+        let by_sidecar = self.grants.get(zone).into_iter().flat_map(BTreeMap::values);
+        by_sidecar
+            .map(|grants| {
+                let valid = grants.iter().filter(|grant| now < grant.expires_at);
+                valid.map(|grant| grant.rate).fold(0.0, f64::max)
+            })
+            .sum()
     }
 }
 
-/// The greatest rate: a newer grant takes an older one's place only once it is heard.
-fn greatest(grants: &[Out]) -> f64 {
-    grants.iter().map(|one| one.rate).fold(0.0, f64::max)
+/// What one sidecar may be granted of a zone's budget, in calls a second.
+struct Budget {
+    share: f64,
+    total: f64,
+    expires_at: Duration,
+}
+
+/// How long the leader holds a grant as in use: its validity on the slowest clock.
+fn held_validity(settings: &ZoneFailoverConfig) -> Duration {
+    settings.grant_validity.0.mul_f64(MAX_CLOCK_DRIFT)
+}
+
+/// Whether sidecars of the tier zone `from` may send into the returning `zone`.
+fn may_send(from: &str, zone: &str, own_sidecars_only: bool) -> bool {
+    if own_sidecars_only { from == zone } else { tier_of(from) == tier_of(zone) }
+}
+
+/// The rate that a sidecar may use at most: an older grant may be in use until a newer one has arrived.
+fn highest_rate(grants: &[Grant]) -> f64 {
+    grants.iter().map(|grant| grant.rate).fold(0.0, f64::max)
 }
