--- a/crates/zone-failover/src/server.rs
+++ b/crates/zone-failover/src/server.rs
@@ -1,4 +1,4 @@
-//! A keeper whole: its seat among the keepers and members, and its part in halls.
+//! The complete state of one consensus server: its replica with its membership, and its zone controller. Sans I/O.
 
 use crate::controller::{Action, ZoneController};
 use crate::state_machine::Transition;
@@ -6,28 +6,28 @@
 use curlewhub_control_plane::protocol::{Message, PeerId};
 use std::time::Duration;
 
-/// A keeper whole.
+/// A consensus server with its zone controller.
 pub struct ControlServer {
-    /// Its seat.
+    /// The replica and its membership.
     pub consensus: ConsensusServer,
-    /// Its part in halls.
+    /// The zone controller.
     pub controller: ZoneController,
-    /// Moves that it has proposed since they were last taken, for the log.
+    /// Transitions proposed since the host last took them, for its log.
     pub transitions: Vec<Transition>,
 }
 
 impl ControlServer {
-    /// One that begins.
+    /// A server of these two parts.
     pub fn new(consensus: ConsensusServer, controller: ZoneController) -> ControlServer {
         ControlServer { consensus, controller, transitions: Vec::new() }
     }
 
-    /// Whether it must end; the host looks after each call, before it says anything.
+    /// The error by which the process must end, if any. The host checks it after each call, before it sends outputs.
     pub fn fatal_error(&self) -> Option<FatalError> {
         self.consensus.fatal_error()
     }
 
-    /// A tick has passed.
+    /// Runs the periodic work. `unix_ms` is the wall clock, in milliseconds of Unix time.
     pub fn tick(&mut self, now: Duration, unix_ms: u64) -> Vec<Output> {
         let mut outputs = vec![self.consensus.tick(now, unix_ms)];
         let actions = self.controller.tick(now, unix_ms, &self.consensus);
@@ -35,7 +35,7 @@
         outputs
     }
 
-    /// Something was heard.
+    /// Handles a message of a peer. Evidence that is stale or repeated is dropped.
     pub fn handle_message(&mut self, now: Duration, from: &PeerId, message: Message) -> Vec<Output> {
         let Message::Evidence(digest) = message else {
             return vec![self.consensus.handle_message(now, from, message)];
@@ -56,17 +56,17 @@
                     output.replica.messages.push((to, message));
                     outputs.push(output);
                 }
-                Action::Propose(proposal, moves) => {
-                    self.transitions.extend(moves);
-                    let own = self.consensus.local_member();
-                    let who = PeerId { name: own.name.clone(), incarnation: own.incarnation };
-                    outputs.push(self.consensus.handle_message(now, &who, Message::Propose(proposal)));
+                Action::Propose(proposal, transitions) => {
+                    self.transitions.extend(transitions);
+                    let local = self.consensus.local_member();
+                    let local = PeerId { name: local.name.clone(), incarnation: local.incarnation };
+                    outputs.push(self.consensus.handle_message(now, &local, Message::Propose(proposal)));
                 }
             }
         }
     }
 
-    /// It goes: nobody has to find that out.
+    /// Leaves the membership before the process ends, so that no peer has to detect a failure.
     pub fn leave(&mut self) -> Vec<Output> {
         vec![self.consensus.leave()]
     }
