--- a/crates/zone-failover/src/signals/zone_history.rs
+++ b/crates/zone-failover/src/signals/zone_history.rs
@@ -77,7 +77,8 @@
         } else {
             1.0
         };
-        let is_usual = took_ms <= expected_ms * latency_ratio.max(MIN_BASELINE_LATENCY_RATIO) * MAX_BASELINE_SLOWDOWN
+        let is_usual = took_ms
+            <= expected_ms * latency_ratio.max(MIN_BASELINE_LATENCY_RATIO) * MAX_BASELINE_SLOWDOWN
             || self.baseline_served.sum < MIN_BASELINE_CALLS;
         let gap_s = now.saturating_sub(self.baseline_updated_at).as_secs_f64();
         self.baseline_updated_at = now;
@@ -100,7 +101,8 @@
         // The weight of a decaying sum approaches its time constant only after a while.
         let weight_s = RATE_TIME_CONSTANT_S * (1.0 - (-self.observed_s(now) / RATE_TIME_CONSTANT_S).exp());
         let per_s = |sum: DecayingSum| value(sum) / weight_s.max(MIN_RATE_INTERVAL_S);
-        let ratio = |took: f64, expected: f64| if expected > MIN_EXPECTED_MS { took / expected } else { 1.0 };
+        let ratio =
+            |took: f64, expected: f64| if expected > MIN_EXPECTED_MS { took / expected } else { 1.0 };
         // The baseline is not read as of `now`: it changes with later calls and not with time.
         let baseline_s = self.baseline_seconds.sum.max(MIN_RATE_INTERVAL_S);
         ZoneStatistics {
