--- a/crates/zone-failover/src/zone_policy.rs
+++ b/crates/zone-failover/src/zone_policy.rs
@@ -1,5 +1,7 @@
-//! A sidecar's part in halls: what it may send where, by what the fleet has decided and granted; and where it has lost the
-//! keepers for long, by its own calls.
+//! The zone policy: the part of a sidecar that turns decided zone states and grants into access to each zone.
+//!
+//! A sidecar whose view no consensus server has confirmed for `autonomous_after` becomes autonomous: until the next
+//! confirmation it runs the zone state machine on its own calls, starting from the states last decided.
 
 use crate::state_machine::{Effect, Environment, Transition, ZoneStateMachine};
 use crate::zone_states::{ZONE_STATES_KEY, ZoneState, ZoneStates};
@@ -10,252 +12,264 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Digests whose time of asking is remembered.
-const ASKED_MOST: usize = 64;
-/// It looks at its own calls this often, where it goes by them.
-const LOOK: Duration = Duration::from_millis(50);
+/// Sent digests whose time is remembered, as a grant's validity counts from it.
+const MAX_SENT_DIGESTS: usize = 64;
+/// Interval at which an autonomous sidecar evaluates its own calls.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What may go into a hall.
+/// What may be sent to a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ZoneAccess {
-    /// Anything.
+    /// Every call.
     Open,
-    /// This part of what would go there, 0 to 1.
+    /// This share of the calls that would be sent there, 0 to 1.
     Share(f64),
-    /// So many calls a second until then, and nothing from then on.
+    /// Calls a second, up to a time of the monotonic clock, and nothing after it.
     Rate(f64, Duration),
-    /// Nothing new; what is out goes on.
+    /// No new calls; those in flight go on.
     Closed,
-    /// Nothing new, and what is out goes elsewhere as its class permits: nobody answers there.
+    /// No new calls; those in flight are retried elsewhere as their class permits, as the zone does not answer.
     Unreachable,
 }
 
-/// What the host does, or should know.
+/// What the host is to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// From now on these rights hold, by hall; all of them.
+    /// Put this access into force; it names every zone.
     AccessChanged(Vec<(String, ZoneAccess)>),
-    /// Probe a hall so often.
+    /// Send this number of probes to a zone.
     Probe(String, u32),
-    /// It goes by its own calls from now on, or by its fleet again.
+    /// Note that the sidecar has become autonomous, or is no longer.
     Autonomous(bool),
-    /// It has moved a hall by its own calls.
+    /// Note a transition that the autonomous sidecar made for itself.
     Transition(Transition),
 }
 
-/// What it was granted.
+/// A grant for a returning zone.
 #[derive(Clone, Copy, Debug)]
 struct Grant {
+    /// Calls a second.
     rate: f64,
-    until: Duration,
+    expires_at: Duration,
 }
 
-/// A sidecar's part.
+/// A digest that was sent to the consensus servers.
+#[derive(Clone, Copy, Debug)]
+struct SentDigest {
+    sequence: u64,
+    sent_at: Duration,
+}
+
+/// The zone policy of one sidecar.
 #[derive(Clone, Debug)]
 pub struct ZonePolicy {
+    /// The sidecar's name.
     name: String,
+    /// The sidecar's zone.
     zone: String,
+    /// The tier zones that it calls.
     zones: Vec<String>,
-    rules: ZoneFailoverConfig,
-    /// As the fleet has decided.
+    settings: ZoneFailoverConfig,
+    /// The states that the fleet has decided.
     zone_states: ZoneStates,
+    /// The version that decided them.
     version: Version,
-    /// Its own, used while it is alone.
+    /// Decides while the sidecar is autonomous; takes in its calls at all times.
     state_machine: ZoneStateMachine,
     autonomous: bool,
-    /// When its digests were told, the newest last.
-    asked: VecDeque<(u64, Duration)>,
+    /// The newest last.
+    sent_digests: VecDeque<SentDigest>,
     grants: BTreeMap<String, Grant>,
-    /// The latest term that anything was granted in: what an earlier leader grants is not taken.
+    /// The highest term of a grant: grants of earlier leaders are rejected.
     term: u64,
     access: Vec<(String, ZoneAccess)>,
-    look_at: Duration,
+    next_evaluation_at: Duration,
+    /// Counter of evaluations.
     turn: u64,
-    /// Grants that were not taken: of an earlier term, or too late.
+    /// Grants that were rejected: of an earlier term, expired, or for a digest not known any more.
     pub rejected_grants: u64,
 }
 
 impl ZonePolicy {
-    /// One in this hall, of a fleet or of none.
-    pub fn new(name: &str, zone: &str, zones: Vec<String>, rules: ZoneFailoverConfig) -> ZonePolicy {
-        let rights = zones.iter().map(|zone| (zone.clone(), ZoneAccess::Open)).collect();
-        let state_machine =
-            ZoneStateMachine::new(ZoneFailoverConfig { witnesses: 1, witness_zones: 1, ..rules.clone() });
-        let (zone_states, version, alone, asked, grants, term, look_at, turn, not_granted) =
-            Default::default();
+    /// The policy of the sidecar `name` in `zone`, which calls `zones`; all are open until states are applied.
+    pub fn new(name: &str, zone: &str, zones: Vec<String>, settings: ZoneFailoverConfig) -> ZonePolicy {
+        // An autonomous sidecar is its only witness.
+        let own_settings = ZoneFailoverConfig { witnesses: 1, witness_zones: 1, ..settings.clone() };
         ZonePolicy {
             name: name.to_owned(),
             zone: zone.to_owned(),
+            access: zones.iter().map(|zone| (zone.clone(), ZoneAccess::Open)).collect(),
             zones,
-            rules,
-            zone_states,
-            version,
-            state_machine,
-            autonomous: alone,
-            asked,
-            grants,
-            term,
-            access: rights,
-            look_at,
-            turn,
-            rejected_grants: not_granted,
+            settings,
+            zone_states: ZoneStates::default(),
+            version: Version::default(),
+            state_machine: ZoneStateMachine::new(own_settings),
+            autonomous: false,
+            sent_digests: VecDeque::new(),
+            grants: BTreeMap::new(),
+            term: 0,
+            next_evaluation_at: Duration::ZERO,
+            turn: 0,
+            rejected_grants: 0,
         }
     }
 
-    /// What may go where.
+    /// The access to each zone, as last put into force.
     pub fn access(&self) -> &[(String, ZoneAccess)] {
         &self.access
     }
 
-    /// Whether it goes by its own calls.
+    /// Whether the sidecar decides by its own calls.
     pub fn is_autonomous(&self) -> bool {
         self.autonomous
     }
 
-    /// How halls stand for it.
+    /// The zone states in force: the fleet's, or its own while it is autonomous.
     pub fn zone_states(&self) -> &ZoneStates {
         if self.autonomous { self.state_machine.zone_states() } else { &self.zone_states }
     }
 
-    /// The version that decided how halls stand for it.
+    /// The version of the fleet's zone states that was applied last.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Whether keepers must hear of it though it has seen nothing: it lives by grants.
+    /// Whether digests must be sent even without new calls, since grants answer them.
     pub fn needs_renewal(&self) -> bool {
-        !self.autonomous
-            && self.zone_states.zones.values().any(|held| matches!(held.state, ZoneState::Returning(_)))
+        let is_returning = |state: ZoneState| matches!(state, ZoneState::Returning(_));
+        !self.autonomous && self.zone_states.zones.values().any(|record| is_returning(record.state))
     }
 
-    /// This is acted on.
-    pub fn apply(&mut self, now: Duration, acted: &AppliedRecords) -> Vec<Action> {
-        let Some(record) = acted.get(ZONE_STATES_KEY).filter(|record| record.version > self.version) else {
+    /// Applies the zone states of these records, if they are newer.
+    pub fn apply(&mut self, now: Duration, records: &AppliedRecords) -> Vec<Action> {
+        let Some(record) = records.get(ZONE_STATES_KEY).filter(|record| record.version > self.version)
+        else {
             return Vec::new();
         };
         self.version = record.version;
-        // What is acted on has been read before; what can't be changes nothing.
+        // Records were checked before they were applied; one that cannot be read here all the same changes nothing.
         if let Ok(zone_states) = ZoneStates::decode(&record.proposal.body) {
             self.grants.retain(|zone, _| matches!(zone_states.state(zone), ZoneState::Returning(_)));
             self.zone_states = zone_states;
         }
-        self.changed(now)
+        self.update_access(now)
     }
 
-    /// A digest of its calls is told now.
+    /// Notes that a digest is being sent.
     pub fn evidence_sent(&mut self, now: Duration, digest: &Digest) {
-        self.asked.push_back((digest.sequence, now));
-        if self.asked.len() > ASKED_MOST {
-            self.asked.pop_front();
+        self.sent_digests.push_back(SentDigest { sequence: digest.sequence, sent_at: now });
+        if self.sent_digests.len() > MAX_SENT_DIGESTS {
+            self.sent_digests.pop_front();
         }
     }
 
-    /// Its own calls have shown this.
+    /// Takes in a digest of the sidecar's own calls.
     pub fn record(&mut self, now: Duration, digest: &Digest) {
         self.state_machine.record(now, &self.name, digest);
     }
 
-    /// A keeper grants it calls into returning halls, for so long from when it asked by that digest.
+    /// Takes a grant that answers the digest `digest_sequence`: zones and calls a second. `validity` counts from when that
+    /// digest was sent, and is bounded by the setting `grant_validity`.
     pub fn handle_grant(
         &mut self,
         now: Duration,
         term: u64,
-        of: u64,
-        lasts: Duration,
+        digest_sequence: u64,
+        validity: Duration,
         rates: &[(String, f64)],
     ) -> Vec<Action> {
-        let asked = self.asked.iter().find(|(sequence, _)| *sequence == of).map(|(_, at)| *at);
-        let until = asked.map(|at| at + lasts.min(self.rules.grant_validity.0));
-        let Some(until) = until.filter(|until| now < *until && term >= self.term) else {
+        let validity = validity.min(self.settings.grant_validity.0);
+        let digest = self.sent_digests.iter().find(|digest| digest.sequence == digest_sequence);
+        let expires_at = digest.map(|digest| digest.sent_at + validity);
+        let Some(expires_at) = expires_at.filter(|at| now < *at && term >= self.term) else {
             self.rejected_grants += 1;
             return Vec::new();
         };
         self.term = term;
         for (zone, rate) in rates {
-            let sound = rate.is_finite() && *rate >= 0.0;
-            if sound && matches!(self.zone_states.state(zone), ZoneState::Returning(_)) {
-                self.grants.insert(zone.clone(), Grant { rate: *rate, until });
+            let is_valid = rate.is_finite() && *rate >= 0.0;
+            if is_valid && matches!(self.zone_states.state(zone), ZoneState::Returning(_)) {
+                self.grants.insert(zone.clone(), Grant { rate: *rate, expires_at });
             }
         }
-        self.changed(now)
+        self.update_access(now)
     }
 
-    /// When it wants to be called again at the latest.
+    /// The latest time of the next call of [`ZonePolicy::tick`].
     pub fn next_wakeup(&self) -> Duration {
-        let ends = self.grants.values().map(|grant| grant.until).min();
-        ends.map_or(self.look_at, |at| at.min(self.look_at))
+        let first_expiry = self.grants.values().map(|grant| grant.expires_at).min();
+        first_expiry.map_or(self.next_evaluation_at, |at| at.min(self.next_evaluation_at))
     }
 
-    /// Time has passed; `age` is how long ago a keeper confirmed the view, if one has since the start, which was so long ago.
-    pub fn tick(&mut self, now: Duration, age: Option<Duration>, started: Duration) -> Vec<Action> {
+    /// Runs the periodic work. `age` is the time since a consensus server last confirmed the view, none if that has not
+    /// happened since the process started; `uptime` is the time since then.
+    pub fn tick(&mut self, now: Duration, age: Option<Duration>, uptime: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
-        let old = age.unwrap_or(started) >= self.rules.autonomous_after.0;
-        if old != self.autonomous {
-            self.autonomous = old;
-            if old {
-                // It goes on from what the fleet had decided.
-                let zone_states = self.zone_states.clone();
-                self.state_machine.apply(now, &zone_states);
+        let autonomous = age.unwrap_or(uptime) >= self.settings.autonomous_after.0;
+        if autonomous != self.autonomous {
+            self.autonomous = autonomous;
+            if autonomous {
+                self.state_machine.apply(now, &self.zone_states);
             }
-            actions.push(Action::Autonomous(old));
+            actions.push(Action::Autonomous(autonomous));
         }
-        if now >= self.look_at {
-            self.look_at = now + LOOK;
+        if now >= self.next_evaluation_at {
+            self.next_evaluation_at = now + EVALUATION_INTERVAL;
             self.turn += 1;
-            self.look(now, &mut actions);
+            if self.autonomous {
+                self.evaluate_own_calls(now, &mut actions);
+            }
         }
-        self.grants.retain(|_, grant| now < grant.until);
-        actions.extend(self.changed(now));
+        self.grants.retain(|_, grant| now < grant.expires_at);
+        actions.extend(self.update_access(now));
         actions
     }
 
-    /// What its own calls come to, if it goes by them.
-    fn look(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if !self.autonomous {
-            return;
-        }
+    /// Evaluates the state machine on the sidecar's own calls, and applies what it proposes.
+    fn evaluate_own_calls(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let sidecars = [(self.zone.clone(), vec![self.name.clone()])].into();
-        let world = Environment { sidecars, turn: self.turn, ..Environment::default() };
-        for wanted in self.state_machine.tick(now, &world) {
-            match wanted {
+        let environment = Environment { sidecars, turn: self.turn, ..Environment::default() };
+        for effect in self.state_machine.tick(now, &environment) {
+            match effect {
                 Effect::Probe { zone, count, .. } => actions.push(Action::Probe(zone, count)),
-                Effect::Propose { states: zone_states, transitions: moves } => {
-                    self.state_machine.apply(now, &zone_states);
-                    actions.extend(moves.into_iter().map(Action::Transition));
+                Effect::Propose { states, transitions } => {
+                    self.state_machine.apply(now, &states);
+                    actions.extend(transitions.into_iter().map(Action::Transition));
                 }
             }
         }
     }
 
-    /// Its rights, where they are others than before.
-    fn changed(&mut self, now: Duration) -> Vec<Action> {
-        let rights: Vec<(String, ZoneAccess)> =
-            self.zones.iter().map(|zone| (zone.clone(), self.right(now, zone))).collect();
-        if rights == self.access {
+    /// Determines the access to all zones; an action if any has changed.
+    fn update_access(&mut self, now: Duration) -> Vec<Action> {
+        let access: Vec<(String, ZoneAccess)> =
+            self.zones.iter().map(|zone| (zone.clone(), self.access_to(now, zone))).collect();
+        if access == self.access {
             return Vec::new();
         }
-        self.access = rights;
+        self.access = access;
         vec![Action::AccessChanged(self.access.clone())]
     }
 
-    fn right(&self, now: Duration, zone: &str) -> ZoneAccess {
+    fn access_to(&self, now: Duration, zone: &str) -> ZoneAccess {
         let zone_states = self.zone_states();
         if zone_states.is_cut(&self.zone, zone) {
             return ZoneAccess::Unreachable;
         }
         match zone_states.state(zone) {
             ZoneState::Serving => ZoneAccess::Open,
-            ZoneState::Leaving(part) => ZoneAccess::Share(part),
-            ZoneState::Left if zone_states.zones.get(zone).is_some_and(|held| held.overridden) => {
+            ZoneState::Leaving(share) => ZoneAccess::Share(share),
+            // A zone that an operator has left may still answer.
+            ZoneState::Left if zone_states.zones.get(zone).is_some_and(|record| record.overridden) => {
                 ZoneAccess::Closed
             }
             ZoneState::Left => ZoneAccess::Unreachable,
-            // Alone, a budget is its own: what it bore of its calls alone, by steps.
+            // The budget of an autonomous sidecar follows from its own calls alone, and needs no grant.
             ZoneState::Returning(rate) if self.autonomous => {
-                ZoneAccess::Rate(rate, now + self.rules.grant_validity.0)
+                ZoneAccess::Rate(rate, now + self.settings.grant_validity.0)
             }
             ZoneState::Returning(_) => match self.grants.get(zone) {
-                Some(grant) if now < grant.until => ZoneAccess::Rate(grant.rate, grant.until),
+                Some(grant) if now < grant.expires_at => ZoneAccess::Rate(grant.rate, grant.expires_at),
                 _ => ZoneAccess::Closed,
             },
         }
