--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -1,8 +1,11 @@
-//! Which halls and regions are served, left and returned to, by what pace, and why; sans I/O.
+//! Zone failover: decides which zones and regions are served, left and returned to, at which pace and why. Sans I/O.
 //!
-//! [`signals`] is what evidence shows, [`state_machine`] what follows from it, [`zone_states`] what is decided, [`grants`] how a
-//! returning hall's budget is parted, [`room`] what a move would do to those that stay. [`controller`] is a keeper's part in that, and [`part`] a sidecar's; [`server`] and [`agent`]
-//! are the two whole, as the program, the model and the checker host them.
+//! [`signals`] evaluates evidence, [`state_machine`] decides by it, [`zone_states`] is what was decided, [`grants`] divides the
+//! budgets of returning zones, and [`capacity`] computes what an evacuation would do. [`controller`] hosts them in a consensus
+//! server and [`zone_policy`] in a sidecar; [`server`] and [`agent`] are the complete state of each, as the program, the model
+//! and the model checker run it.
+//!
+//! A *tier zone* is the endpoints of one tier in one zone; wherever a zone is left or returned to, it is meant.
 
 #![warn(clippy::too_many_lines)]
 
