--- a/crates/zone-failover/src/state_machine/transitions.rs
+++ b/crates/zone-failover/src/state_machine/transitions.rs
@@ -7,6 +7,7 @@
     MAX_GOOD_LATENCY_RATIO, MAX_GOOD_LOSS, MAX_GOOD_REJECTION, StateChange, TickContext, ZoneStateMachine,
 };
 use crate::zone_states::{Baseline, ZoneState, ZoneStates, tier_of};
+use std::ops::ControlFlow;
 use std::time::Duration;
 
 /// Calls by which a step of a recovery ramp is judged.
@@ -85,8 +86,8 @@
         next: &ZoneStates,
     ) -> Option<StateChange> {
         let now = context.now;
-        if let Some(why) = self.confirmed_fault(context, zone) {
-            return self.may_leave(now, zone, next).then(|| StateChange::automatic(ZoneState::Left, why));
+        if let ControlFlow::Break(change) = self.leave_for_fault(context, zone, next) {
+            return change;
         }
         let statistics = self.signals.statistics(now, zone);
         let baseline = statistics.baseline_latency_ratio;
@@ -99,6 +100,18 @@
         self.may_leave(now, zone, next).then(|| StateChange::automatic(leaving, why))
     }
 
+    /// Breaks if a fault is confirmed, with the change to `Left` if the zone may be left.
+    fn leave_for_fault(
+        &mut self,
+        context: &mut TickContext,
+        zone: &str,
+        next: &ZoneStates,
+    ) -> ControlFlow<Option<StateChange>> {
+        let Some(why) = self.confirmed_fault(context, zone) else { return ControlFlow::Continue(()) };
+        let may_leave = self.may_leave(context.now, zone, next);
+        ControlFlow::Break(may_leave.then(|| StateChange::automatic(ZoneState::Left, why)))
+    }
+
     /// From `Leaving`: to a smaller share while the zone is slow, to a greater one once it has recovered or the others are
     /// at capacity, to `Left` for a confirmed fault.
     pub(super) fn next_from_leaving(
@@ -109,8 +122,8 @@
         next: &ZoneStates,
     ) -> Option<StateChange> {
         let now = context.now;
-        if let Some(why) = self.confirmed_fault(context, zone) {
-            return self.may_leave(now, zone, next).then(|| StateChange::automatic(ZoneState::Left, why));
+        if let ControlFlow::Break(change) = self.leave_for_fault(context, zone, next) {
+            return change;
         }
         let baseline = self.recorded_baseline(zone).latency_ratio;
         let (in_state, slow_for) = (self.time_in_state(now, zone), self.settings.slow_for.0);
--- a/crates/zone-failover/tests/state_machine/returning.rs
+++ b/crates/zone-failover/tests/state_machine/returning.rs
@@ -104,7 +104,7 @@
     for seed in 0..5 {
         let mut fleet = three_zones(20 + seed);
         // Zone b and its sidecars are cut off from all others.
-        (fleet.unheard_zones, fleet.uninformed_zones) = (vec!["b"], vec!["b"]);
+        (fleet.disconnected_zones, fleet.uninformed_zones) = (vec!["b"], vec!["b"]);
         for to in ZONES {
             let _ = (
                 fleet.paths.insert((to, "b"), PathCondition::Silent),
@@ -114,7 +114,7 @@
         fleet.paths.insert(("b", "b"), PathCondition::Healthy);
         fleet.run(SECOND * 6);
         assert_eq!(fleet.state("b"), ZoneState::Left, "seed {seed}");
-        fleet.unheard_zones.clear();
+        fleet.disconnected_zones.clear();
         fleet.paths.clear();
         let since = fleet.now;
         fleet.run(MS * 500);
--- a/crates/zone-failover/tests/state_machine/simulated_fleet.rs
+++ b/crates/zone-failover/tests/state_machine/simulated_fleet.rs
@@ -67,7 +67,7 @@
     /// Sidecars that report all calls as unreachable, whatever happened.
     pub lying_sidecars: Vec<String>,
     /// Zones whose sidecars cannot send digests to the consensus servers ...
-    pub unheard_zones: Vec<&'static str>,
+    pub disconnected_zones: Vec<&'static str>,
     /// ... and those whose sidecars receive no decisions, and go on as before.
     pub uninformed_zones: Vec<&'static str>,
     pub environment: Environment,
@@ -109,7 +109,7 @@
             sidecars,
             paths: BTreeMap::new(),
             lying_sidecars: Vec::new(),
-            unheard_zones: Vec::new(),
+            disconnected_zones: Vec::new(),
             uninformed_zones: Vec::new(),
             environment,
             transitions: Vec::new(),
@@ -217,7 +217,7 @@
             interval_ms: 250,
             calls_by_zone,
         };
-        if !self.unheard_zones.contains(&zone) {
+        if !self.disconnected_zones.contains(&zone) {
             self.state_machine.record(self.now, &name, &digest);
         }
     }
