--- a/crates/curlewhub/src/lib.rs
+++ b/crates/curlewhub/src/lib.rs
@@ -78,9 +78,10 @@
         }
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let ended = runtime
-        .map_err(|e| e.to_string())
-        .and_then(|rt| LocalSet::new().block_on(&rt, serve::run(loaded, logs.counts(), logs.control())));
+    let ended = runtime.map_err(|e| e.to_string()).and_then(|rt| {
+        let serving = serve::run(loaded, logs.counts(), logs.control());
+        LocalSet::new().block_on(&rt, serving).map_err(|e| e.to_string())
+    });
     match ended {
         Ok(()) => Exit::Done,
         Err(problem) => {
--- a/crates/curlewhub/src/member.rs
+++ b/crates/curlewhub/src/member.rs
@@ -1,4 +1,5 @@
-//! A sidecar in its fleet: what its calls show goes to the keepers, and what they decide goes into its module.
+//! A sidecar's membership in a fleet: evidence of its calls is sent to the consensus servers, and what they decide is
+//! passed to the balancer and the configuration.
 
 use crate::fleet::Says;
 use crate::reload::Reloader;
@@ -11,10 +12,10 @@
 use curlewhub_control_plane_node::{
     Flow, SubscriberOptions, SubscriberStatus, Traffic, ViewHandler, run_subscriber,
 };
+use curlewhub_runtime::call_observer::{AttemptId, CallObserver, NoObserver};
 use curlewhub_runtime::clock::Clock;
 use curlewhub_runtime::events::Command;
 use curlewhub_runtime::figures::{Beside, Figures};
-use curlewhub_runtime::sight::{Attempt, Blind, Sight};
 use curlewhub_zone_failover::zone_policy::ZoneAccess;
 use curlewhub_zone_failover::zone_states::tier_zone;
 use std::cell::RefCell;
@@ -26,32 +27,31 @@
 use tokio::time::timeout;
 use tracing::{error, info};
 
-/// A process that ends waits so long for its last word to its fleet.
-const LEAVE_MOST: Duration = Duration::from_millis(100);
-/// One that starts waits so long for what its disk holds of the view.
-const BEGIN_MOST: Duration = Duration::from_millis(500);
+/// Timeout of leaving the fleet as the process ends.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
+/// Timeout of applying the cached view as the process starts.
+const CACHED_VIEW_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of a probe of a zone.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A sidecar's part in its fleet: what its driver sees goes to the keepers, and what they decide is held here.
-pub struct Member {
-    witness: Rc<RefCell<CallRecorder>>,
-    began: Instant,
+/// Records the driver's calls as evidence.
+struct EvidenceObserver {
+    recorder: Rc<RefCell<CallRecorder>>,
+    /// Start of the recorder's clock.
+    started: Instant,
 }
 
-impl Sight for Member {
-    fn began(&self, attempt: Attempt, class: ClassId, zone: &dyn Fn() -> Option<ZoneId>) {
+impl CallObserver for EvidenceObserver {
+    fn attempt_started(&self, attempt: AttemptId, class: ClassId, zone: &dyn Fn() -> Option<ZoneId>) {
         if let Some(zone) = zone() {
-            let (hall, class) = (zone.0 as usize, class.0);
-            self.witness.borrow_mut().call_started(
-                self.began.elapsed(),
-                (attempt.0.0, attempt.1.0),
-                hall,
-                class,
-            );
+            let (zone, class) = (zone.0 as usize, class.0);
+            let now = self.started.elapsed();
+            self.recorder.borrow_mut().call_started(now, call_id(attempt), zone, class);
         }
     }
 
-    fn ended(&self, attempt: Attempt, outcome: Outcome, took: Duration) {
-        let how = match outcome {
+    fn attempt_ended(&self, attempt: AttemptId, outcome: Outcome, elapsed: Duration) {
+        let outcome = match outcome {
             Outcome::Ok => CallOutcome::Served,
             Outcome::TimedOut => CallOutcome::TimedOut,
             Outcome::ConnectFailed | Outcome::Reset => CallOutcome::Unreachable,
@@ -59,49 +59,89 @@
             Outcome::Error => CallOutcome::Failed,
             Outcome::Cancelled | Outcome::Moot | Outcome::LocalFault => CallOutcome::Cancelled,
         };
-        self.witness.borrow_mut().call_finished((attempt.0.0, attempt.1.0), how, took);
+        self.recorder.borrow_mut().call_finished(call_id(attempt), outcome, elapsed);
     }
 
-    fn probed(&self, zone: ZoneId, answered: bool) {
-        self.witness.borrow_mut().probe_finished(zone.0 as usize, answered);
+    fn zone_probe_ended(&self, zone: ZoneId, answered: bool) {
+        self.recorder.borrow_mut().probe_finished(zone.0 as usize, answered);
     }
 }
 
-/// Probes of a hall are given up after this.
-const PROBE_MOST: Duration = Duration::from_millis(300);
+/// The recorder's id of an attempt.
+fn call_id((request, attempt): AttemptId) -> (u64, u32) {
+    (request.0, attempt.0)
+}
 
-/// Holds what is decided, in a sidecar.
-struct Holds {
+/// Puts decisions of the consensus servers into force in this sidecar, and reports its standing in the figures.
+struct DecisionHandler {
     figures: Rc<Figures>,
     commands: UnboundedSender<Command>,
     clock: Clock,
-    /// The halls' names by number.
-    halls: Vec<String>,
-    /// Takes over what is decided of the configuration.
+    /// The names of the zones, by zone id.
+    zones: Vec<String>,
     reloader: Rc<Reloader>,
-    /// Told once what was held at the start is acted on.
-    begun: Option<oneshot::Sender<()>>,
-    /// Halls that nothing new may go into just now.
-    closed: u64,
-    /// What the log says of that.
-    told: String,
-    /// Messages to its fleet and from it, since the start ...
+    /// Resolved once the cached view is applied.
+    view_applied: Option<oneshot::Sender<()>>,
+    /// Number of zones that are closed or unreachable now.
+    closed_zones: u64,
+    /// The access that was logged last.
+    logged_access: String,
+    /// Messages from and to the fleet since the start.
     messages: Flow,
-    /// ... and those that found no room in this process.
-    lost: u64,
+    /// Messages that were dropped in this process since the start.
+    lost_messages: u64,
 }
 
-impl Holds {
-    fn zone(&self, hall: &str) -> Option<ZoneId> {
-        self.halls.iter().position(|known| known == hall).map(|zone| ZoneId(zone as u32))
+impl DecisionHandler {
+    fn zone_id(&self, name: &str) -> Option<ZoneId> {
+        self.zones.iter().position(|known| known == name).map(|zone| ZoneId(zone as u32))
+    }
+
+    /// The access to a zone as the balancer takes it. `now` is the time on the clock of the decision.
+    fn zone_right(&self, now: Duration, access: ZoneAccess) -> ZoneRight {
+        match access {
+            ZoneAccess::Open => ZoneRight::Open,
+            ZoneAccess::Share(share) => ZoneRight::Part(share),
+            // The same instant on the balancer's clock; both are monotonic.
+            ZoneAccess::Rate(per_s, until) => {
+                ZoneRight::Rate { per_s, until: self.clock.now() + until.saturating_sub(now) }
+            }
+            ZoneAccess::Closed => ZoneRight::Closed,
+            ZoneAccess::Unreachable => ZoneRight::Dark,
+        }
+    }
+
+    /// Logs the access if its text has changed. The text has no rates: they are renewed several times a second.
+    fn log_access(&mut self, access: &[(String, ZoneAccess)]) {
+        let restricted: Vec<String> = access.iter().filter_map(restriction).collect();
+        let text = if restricted.is_empty() { "all open".to_owned() } else { restricted.join(", ") };
+        if text != self.logged_access {
+            info!(halls = text, "fleet: may");
+            self.logged_access = text;
+        }
     }
 }
 
-impl ViewHandler for Holds {
-    fn view_applied(&mut self, acted: &AppliedRecords, hash: Hash) {
-        Says.view_applied(acted, hash);
-        if let Some(begun) = self.begun.take() {
-            let _ = begun.send(()); // nobody waits for it any more
+fn is_closed((_, access): &&(String, ZoneAccess)) -> bool {
+    matches!(access, ZoneAccess::Closed | ZoneAccess::Unreachable)
+}
+
+/// The text of a zone that is not open.
+fn restriction((zone, access): &(String, ZoneAccess)) -> Option<String> {
+    match access {
+        ZoneAccess::Open => None,
+        ZoneAccess::Share(share) => Some(format!("{zone}: {:.0}%", share * 100.0)),
+        ZoneAccess::Rate(..) => Some(format!("{zone}: returning")),
+        ZoneAccess::Closed => Some(format!("{zone}: closed")),
+        ZoneAccess::Unreachable => Some(format!("{zone}: dark")),
+    }
+}
+
+impl ViewHandler for DecisionHandler {
+    fn view_applied(&mut self, applied: &AppliedRecords, hash: Hash) {
+        Says.view_applied(applied, hash);
+        if let Some(reply) = self.view_applied.take() {
+            let _ = reply.send(()); // the wait may have timed out
         }
     }
 
@@ -109,153 +149,141 @@
         self.reloader.fleet(values)
     }
 
-    fn zone_access_changed(&mut self, now: Duration, rights: &[(String, ZoneAccess)]) {
-        let zoned = rights.iter().filter_map(|(hall, right)| {
-            let right = match *right {
-                ZoneAccess::Open => ZoneRight::Open,
-                ZoneAccess::Share(part) => ZoneRight::Part(part),
-                // The same moment on the module's clock, which is as steady.
-                ZoneAccess::Rate(per_s, until) => {
-                    ZoneRight::Rate { per_s, until: self.clock.now() + until.saturating_sub(now) }
-                }
-                ZoneAccess::Closed => ZoneRight::Closed,
-                ZoneAccess::Unreachable => ZoneRight::Dark,
-            };
-            Some((self.zone(hall)?, right))
-        });
-        let zoned = zoned.collect();
-        let closed = |(_, right): &&(String, ZoneAccess)| {
-            matches!(right, ZoneAccess::Closed | ZoneAccess::Unreachable)
-        };
-        self.closed = rights.iter().filter(closed).count() as u64;
-        let _ = self.commands.send(Command::Zones(zoned)); // fails only while the process ends
-        let told = |(hall, right): &(String, ZoneAccess)| match right {
-            ZoneAccess::Open => None,
-            ZoneAccess::Share(part) => Some(format!("{hall}: {:.0}%", part * 100.0)),
-            ZoneAccess::Rate(..) => Some(format!("{hall}: returning")),
-            ZoneAccess::Closed => Some(format!("{hall}: closed")),
-            ZoneAccess::Unreachable => Some(format!("{hall}: dark")),
-        };
-        let held: Vec<String> = rights.iter().filter_map(told).collect();
-        let held = if held.is_empty() { "all open".to_owned() } else { held.join(", ") };
-        // A rate is renewed some times a second; that it is one is what a person wants to know.
-        if held != self.told {
-            info!(halls = held, "fleet: may");
-            self.told = held;
-        }
+    fn zone_access_changed(&mut self, now: Duration, access: &[(String, ZoneAccess)]) {
+        let rights = access
+            .iter()
+            .filter_map(|(zone, access)| Some((self.zone_id(zone)?, self.zone_right(now, *access))))
+            .collect();
+        self.closed_zones = access.iter().filter(is_closed).count() as u64;
+        let _ = self.commands.send(Command::Zones(rights)); // fails only while the process ends
+        self.log_access(access);
     }
 
-    fn probe_zone(&mut self, hall: &str, count: u32) {
-        if let Some(zone) = self.zone(hall) {
+    fn probe_zone(&mut self, zone: &str, count: u32) {
+        if let Some(zone) = self.zone_id(zone) {
             // It fails only while the process ends.
-            let _ = self.commands.send(Command::ProbeZone { zone, count, within: PROBE_MOST });
+            let _ = self.commands.send(Command::ProbeZone { zone, count, within: PROBE_TIMEOUT });
         }
     }
 
     fn traffic_counted(&mut self, traffic: &Traffic) {
         self.messages = traffic.total();
-        self.lost = traffic.losses().values().sum();
+        self.lost_messages = traffic.losses().values().sum();
     }
 
-    fn status_changed(&mut self, standing: SubscriberStatus) {
-        let SubscriberStatus {
-            version,
-            age,
-            counts,
-            rejected_records: not_taken,
-            members,
-            traffic: (said, heard),
-            ..
-        } = standing;
+    fn status_changed(&mut self, status: SubscriberStatus) {
+        let (sent_bytes, received_bytes) = status.traffic;
         let gauge = |name, value| Beside { name, value, counts: false };
         let count = |name, value| Beside { name, value, counts: true };
-        let mut figures = vec![gauge("fleet_version", version)];
-        // Without a keeper's word since the start there is no age to tell.
-        figures.extend(age.map(|age| gauge("fleet_age_ms", age.as_millis() as u64)));
-        // Nothing newer than what is in force, or refused, was decided so long ago; more is not known.
-        figures.extend(age.map(|age| gauge("config_age_ms", age.as_millis() as u64)));
+        let mut figures = vec![gauge("fleet_version", status.version)];
+        // Without a message of a consensus server since the start the age is unknown.
+        figures.extend(status.age.map(|age| gauge("fleet_age_ms", age.as_millis() as u64)));
+        // The configuration in force, or refused, was the newest this long ago; it has no age of its own.
+        figures.extend(status.age.map(|age| gauge("config_age_ms", age.as_millis() as u64)));
         figures.extend([
-            gauge("config_version", standing.config.0),
-            gauge("config_refused", u64::from(standing.config_refused)),
-            count("config_refusals", standing.config_refusals),
-            gauge("fleet_not_taken", not_taken as u64),
-            gauge("fleet_halls_closed", self.closed),
-            gauge("fleet_members", members as u64),
-            count("fleet_contradictions", counts.conflicts),
-            count("fleet_unanswered", counts.timeouts),
-            count("fleet_said_bytes", said),
-            count("fleet_heard_bytes", heard),
+            gauge("config_version", status.config.0),
+            gauge("config_refused", u64::from(status.config_refused)),
+            count("config_refusals", status.config_refusals),
+            gauge("fleet_not_taken", status.rejected_records as u64),
+            gauge("fleet_halls_closed", self.closed_zones),
+            gauge("fleet_members", status.members as u64),
+            count("fleet_contradictions", status.counts.conflicts),
+            count("fleet_unanswered", status.counts.timeouts),
+            count("fleet_said_bytes", sent_bytes),
+            count("fleet_heard_bytes", received_bytes),
             count("fleet_said_messages", self.messages.messages_out),
             count("fleet_heard_messages", self.messages.messages_in),
-            count("fleet_lost_messages", self.lost),
+            count("fleet_lost_messages", self.lost_messages),
         ]);
         self.figures.beside(figures);
     }
 }
 
-/// What a sidecar has of its fleet.
-pub struct Joined {
-    /// What its driver is to tell.
-    pub sight: Rc<dyn Sight>,
-    begun: Option<oneshot::Receiver<()>>,
-    leave: Option<(oneshot::Sender<()>, JoinHandle<()>)>,
+/// A sidecar's membership in a fleet; empty without one.
+pub struct FleetMembership {
+    /// Observes the driver's calls.
+    pub call_observer: Rc<dyn CallObserver>,
+    view_applied: Option<oneshot::Receiver<()>>,
+    subscriber: Option<SubscriberTask>,
 }
 
-impl Joined {
-    /// Waits until what its state directory holds of the view is acted on: before that it would send where its predecessor
-    /// must not. A disk that takes too long is not waited for.
-    pub async fn begun(&mut self) {
-        if let Some(begun) = self.begun.take() {
-            let _ = timeout(BEGIN_MOST, begun).await;
+/// The running subscriber.
+struct SubscriberTask {
+    leave: oneshot::Sender<()>,
+    task: JoinHandle<()>,
+}
+
+impl FleetMembership {
+    /// Waits until the cached view in the state directory is applied: before that, requests might be sent where the view
+    /// forbids it. A disk that takes too long is not waited for.
+    pub async fn wait_for_view(&mut self) {
+        if let Some(applied) = self.view_applied.take() {
+            let _ = timeout(CACHED_VIEW_TIMEOUT, applied).await;
         }
     }
 
-    /// Says that this process goes, so that nobody has to find that out; SIGKILL may come after `left`.
-    pub async fn leave(self, left: Duration) {
-        if let Some((leave, gone)) = self.leave {
+    /// Announces to the fleet that this process leaves, so that no failure detection is needed. SIGKILL may come after
+    /// `time_left`; members that miss the announcement detect the end themselves.
+    pub async fn leave(self, time_left: Duration) {
+        if let Some(SubscriberTask { leave, task }) = self.subscriber {
             let _ = leave.send(());
-            let _ = timeout(LEAVE_MOST.min(left), gone).await; // who has not heard it finds out
+            let _ = timeout(LEAVE_TIMEOUT.min(time_left), task).await;
         }
     }
 }
 
-/// Takes a sidecar into its fleet, where it is told of one. A fleet that can't be joined keeps no sidecar from serving.
+/// Joins the fleet of the configuration, if there is one. A sidecar serves also if that fails.
 pub fn join(
     config: &Config,
     figures: &Rc<Figures>,
     commands: &UnboundedSender<Command>,
     clock: Clock,
     reloader: Rc<Reloader>,
-) -> Joined {
+) -> FleetMembership {
     let Some(fleet) = config.fleet.clone() else {
-        return Joined { sight: Rc::new(Blind), begun: None, leave: None };
+        return FleetMembership {
+            call_observer: Rc::new(NoObserver),
+            view_applied: None,
+            subscriber: None,
+        };
     };
     let (areas, tier) = (&config.names.areas, config.settings.tier);
-    let hall = areas.get(config.settings.zone.0 as usize).map_or("", |hall| hall);
-    let halls: Vec<String> = areas.iter().map(|hall| tier_zone(hall, tier)).collect();
-    let witness = Rc::new(RefCell::new(CallRecorder::new(hall, halls.clone())));
-    let began = Instant::now();
-    let manner = SubscriberOptions {
+    let own_zone = areas.get(config.settings.zone.0 as usize).map_or("", |zone| zone);
+    let zones: Vec<String> = areas.iter().map(|zone| tier_zone(zone, tier)).collect();
+    let recorder = Rc::new(RefCell::new(CallRecorder::new(own_zone, zones.clone())));
+    let started = Instant::now();
+    let options = SubscriberOptions {
         share_address: true,
-        recorder: Some((witness.clone(), began)),
-        zones: halls.clone(),
+        recorder: Some((recorder.clone(), started)),
+        zones: zones.clone(),
     };
-    let (figures, commands) = (figures.clone(), commands.clone());
-    let (begun, begins) = oneshot::channel();
-    let (closed, told, messages, lost) = Default::default();
-    let begun = Some(begun);
-    let mut holds =
-        Holds { figures, commands, clock, halls, reloader, begun, closed, told, messages, lost };
-    let (leave, leaves) = oneshot::channel::<()>();
-    let left = spawn_local(async move {
-        let leaves = async {
-            if leaves.await.is_err() {
+    let (view_applied, applied) = oneshot::channel();
+    let mut handler = DecisionHandler {
+        figures: figures.clone(),
+        commands: commands.clone(),
+        clock,
+        zones,
+        reloader,
+        view_applied: Some(view_applied),
+        closed_zones: 0,
+        logged_access: String::new(),
+        messages: Flow::default(),
+        lost_messages: 0,
+    };
+    let (leave, leave_requested) = oneshot::channel::<()>();
+    let task = spawn_local(async move {
+        let leave = async {
+            if leave_requested.await.is_err() {
                 std::future::pending().await
             }
         };
-        if let Err(problem) = run_subscriber(&fleet, manner, &mut holds, leaves).await {
-            error!(problem, "fleet: not joined; going on alone");
+        if let Err(problem) = run_subscriber(&fleet, options, &mut handler, leave).await {
+            error!(problem, "fleet: joining failed; serving without");
         }
     });
-    Joined { sight: Rc::new(Member { witness, began }), begun: Some(begins), leave: Some((leave, left)) }
+    FleetMembership {
+        call_observer: Rc::new(EvidenceObserver { recorder, started }),
+        view_applied: Some(applied),
+        subscriber: Some(SubscriberTask { leave, task }),
+    }
 }
--- a/crates/curlewhub/src/serve.rs
+++ b/crates/curlewhub/src/serve.rs
@@ -1,21 +1,26 @@
-//! Starts the sidecar's parts, wires them together, and hands them the signals.
+//! A sidecar process: creates the parts, connects them, and serves until it is terminated.
+
+mod error;
+mod signals;
 
 use crate::logs::{Counts, LogControl};
+use crate::member::{self, FleetMembership};
 use crate::reload::Reloader;
 use curlewhub_balance::Balancer;
 use curlewhub_config::{Config, Loaded};
 use curlewhub_connection_quota::Terms;
-use curlewhub_runtime::bans::Bans;
 use curlewhub_runtime::budget::Budget;
 use curlewhub_runtime::clock::Clock;
 use curlewhub_runtime::discovery::Discovery;
 use curlewhub_runtime::driver::{Driver, Parts};
-use curlewhub_runtime::events::{Call, Input};
+use curlewhub_runtime::endpoint_bans::EndpointBans;
+use curlewhub_runtime::events::{Call, Command, Commands, Inbox, Input};
 use curlewhub_runtime::figures::Figures;
-use curlewhub_runtime::handover::{self, Handover, Taken};
+use curlewhub_runtime::handover::protocol::Connection;
+use curlewhub_runtime::handover::{self, HandedOver, Handover};
+use curlewhub_runtime::idempotency_keys::IdempotencyKeys;
 use curlewhub_runtime::inbound::Inbound;
-use curlewhub_runtime::keyed::Keyed;
-use curlewhub_runtime::learnt::Learnt;
+use curlewhub_runtime::learned_state::LearnedState;
 use curlewhub_runtime::lifecycle::Lifecycle;
 use curlewhub_runtime::listing::Listing;
 use curlewhub_runtime::operator::Operator;
@@ -23,215 +28,323 @@
 use curlewhub_runtime::slots::Slots;
 use curlewhub_runtime::static_list;
 use curlewhub_snapshot::{Store, fingerprint};
-use std::io;
-use std::net::SocketAddr;
+pub use error::ServeError;
+use signals::{SignalRequest, Signals};
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
-use tokio::signal::unix::{SignalKind, signal};
-use tokio::sync::mpsc::{self, UnboundedSender};
-use tokio::task::spawn_local;
+use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
+use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep};
 use tracing::{info, warn};
 
-/// A successor whose discovery does not answer serves after this long with the list as last held: its
-/// yes is due within 6 s, and the process before it goes on in the meantime.
-const FRESH_MOST: Duration = Duration::from_secs(5);
-/// How often it asks for the list until then.
-const FRESH_ASK: Duration = Duration::from_millis(500);
-/// How often it looks whether the list has come.
-const FRESH_CHECK: Duration = Duration::from_millis(10);
+/// A successor whose discovery does not answer for this long serves with the known list: it has to be ready within 6 s,
+/// and its predecessor serves in the meantime.
+const FRESH_LIST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval between requests for the list until then.
+const FRESH_LIST_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between checks whether the list has arrived.
+const FRESH_LIST_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval between log lines about dropped log lines.
+const DROPPED_LINES_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often the log tells what of it was dropped.
-const DROPPED_EVERY: Duration = Duration::from_secs(1);
+/// Serves until the process is terminated.
+///
+/// # Errors
+/// What kept the sidecar from starting, or what ended it.
+pub async fn run(loaded: Loaded, counts: Counts, log: LogControl) -> Result<(), ServeError> {
+    let signals = Signals::install()?;
+    let base = Base::new(&loaded.config)?;
+    // First of all: an operator is owed an answer from the start on.
+    base.start_operator(&loaded.config).await?;
+    let entrance = Entrance::open(&loaded.config, &base.handover).await?;
+    warn_of_overridden_settings(&loaded.config);
+    let sidecar = Sidecar::start(loaded, log, base, entrance.bans);
+    spawn_local(log_dropped_lines(counts));
+    sidecar.serve(entrance.listener, entrance.predecessor, signals).await
+}
 
-/// What listens or is handed over before the rest of the sidecar is there.
-struct Doors {
-    listener: TcpListener,
-    /// The process before this one, if it serves.
-    before: Option<handover::Talk>,
-    bans: Rc<Bans>,
+/// The parts that all others depend on.
+struct Base {
+    clock: Clock,
+    balancer: Balancer,
+    budget: Rc<Budget>,
+    figures: Rc<Figures>,
+    lifecycle: Rc<Lifecycle>,
+    handover: Rc<Handover>,
+    commands: Commands,
+    command_queue: UnboundedReceiver<Command>,
 }
 
-/// Serves until told to end.
-///
-/// # Errors
-/// What keeps the sidecar from starting, by field, or what ended it.
-pub async fn run(loaded: Loaded, counts: Counts, log: LogControl) -> Result<(), String> {
-    let config = loaded.config.clone();
-    // Without a handler SIGHUP would end the process.
-    let mut hup = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
-    let mut term = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
-    let mut int = signal(SignalKind::interrupt()).map_err(|e| format!("SIGINT: {e}"))?;
-    let clock = Clock::start();
-    let balancer = Balancer::new(config.settings.clone(), config.seed, clock.now())
-        .map_err(|e| format!("settings: {e}"))?;
-    let budget = Budget::new(config.sockets, config.memory_mb);
-    let figures = Figures::new(config.names.classes.iter().map(|class| class.name.clone()));
-    let longest_deadline =
-        config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-    let lifecycle = Lifecycle::new(longest_deadline);
-    let (commands, commanded) = mpsc::unbounded_channel();
-    let handover =
-        Handover::new(&config.state_dir, config.listen, config.sockets, budget.clone(), commands.clone());
-    if let Some(at) = config.operator {
-        // Before all else: whoever asks is owed an answer from the start on.
-        let listener = TcpListener::bind(at).await.map_err(|e| taken("operator", at, &e, ""))?;
-        let operator = Operator::new(
-            lifecycle.clone(),
-            figures.clone(),
-            commands.clone(),
-            handover.clone(),
+impl Base {
+    fn new(config: &Config) -> Result<Self, ServeError> {
+        let clock = Clock::start();
+        let balancer = Balancer::new(config.settings.clone(), config.seed, clock.now())?;
+        let budget = Budget::new(config.sockets, config.memory_mb);
+        let figures = Figures::new(config.names.classes.iter().map(|class| class.name.clone()));
+        let lifecycle = Lifecycle::new(longest_deadline(config));
+        let (commands, command_queue) = mpsc::unbounded_channel();
+        let handover = Handover::new(
+            &config.state_dir,
+            config.listen,
+            config.sockets,
             budget.clone(),
+            commands.clone(),
+        );
+        Ok(Base { clock, balancer, budget, figures, lifecycle, handover, commands, command_queue })
+    }
+
+    /// Serves operators' calls, if there is an address for them.
+    async fn start_operator(&self, config: &Config) -> Result<(), ServeError> {
+        let Some(address) = config.operator else { return Ok(()) };
+        let listener = TcpListener::bind(address)
+            .await
+            .map_err(|source| ServeError::bind("operator", address, source, ""))?;
+        let operator = Operator::new(
+            self.lifecycle.clone(),
+            self.figures.clone(),
+            self.commands.clone(),
+            self.handover.clone(),
+            self.budget.clone(),
         );
         spawn_local(operator.serve(listener));
+        Ok(())
     }
-    let Doors { listener, before, bans } = open(&config, &handover).await?;
-    let (inbox, inputs) = mpsc::unbounded_channel();
-    let (calls, asked) = mpsc::unbounded_channel();
-    let terms = Terms { sidecars: config.settings.balancers, accepts: config.endpoint_connections };
-    let slots = Slots::new(terms, config.seed);
-    let outbound = Outbound::new(&config.settings, budget.clone(), slots, figures.clone());
-    for note in &config.notes {
-        warn!(field = note.field, problem = note.problem, "configuration: taken as if it were otherwise");
+}
+
+/// What is taken over from the predecessor, or opened without one.
+struct Entrance {
+    listener: TcpListener,
+    predecessor: Option<Connection>,
+    bans: Rc<EndpointBans>,
+}
+
+impl Entrance {
+    /// The clients' listening socket and the bans of the predecessor, if there is one to replace; otherwise a new socket
+    /// and the bans on disk.
+    async fn open(config: &Config, handover: &Rc<Handover>) -> Result<Self, ServeError> {
+        const HINT: &str = "; `--replace` takes over from a curlewhub that serves there";
+        let bans = EndpointBans::load(&config.state_dir, config.listen);
+        let handed_over = if config.replaces { handover.take_over().await } else { None };
+        let (listener, predecessor) = match handed_over {
+            Some(HandedOver { listener, bans: uids, connection }) => {
+                bans.replace(uids);
+                (listener, Some(connection))
+            }
+            None => {
+                let bound = handover::bind(config.listen, config.replaces);
+                let listener =
+                    bound.map_err(|source| ServeError::bind("listen", config.listen, source, HINT))?;
+                (listener, None)
+            }
+        };
+        handover.set_listener(&listener).map_err(|source| {
+            let (field, address) = ("listen", config.listen);
+            ServeError::Listen { field, address, source }
+        })?;
+        Ok(Entrance { listener, predecessor, bans })
     }
-    let inbound = Inbound::new(
-        config.settings.clone(),
-        &config.names,
-        budget,
-        outbound.clone(),
-        lifecycle.clone(),
-        figures.clone(),
-        inbox.clone(),
-    );
-    let listing = Listing::new(config.names.clone());
-    let fleet_commands = commands.clone();
-    let learnt = Learnt::new(
-        clock,
-        fingerprint(&config.settings),
-        Store::new(&config.state_dir, config.listen),
-        commands,
-        inbox.clone(),
-        figures.clone(),
-    );
-    handover.lets_learn(learnt.clone());
-    // The list as last held is there before the first client.
-    let discovery = match config.discovery {
-        Some(at) => {
-            let mode = config.settings.discovery;
-            let discovery = Discovery::new(at, mode, listing.clone(), config.seed, inbox.clone());
-            let _ = inbox.send(Input::List(discovery.cached(config.known.clone())));
-            spawn_local(discovery.clone().run(asked));
-            Some(discovery)
-        }
-        None => {
+}
+
+/// Where the endpoint list comes from, and the queues around it.
+struct ListSource {
+    listing: Rc<Listing>,
+    /// None if the list is static.
+    discovery: Option<Rc<Discovery>>,
+    calls: UnboundedSender<Call>,
+}
+
+impl ListSource {
+    /// Starts discovery or the static list. The known list is queued at once, before any request.
+    fn start(config: &Config, clock: Clock, inbox: &Inbox) -> Self {
+        let listing = Listing::new(config.names.clone());
+        let (calls, call_queue) = mpsc::unbounded_channel();
+        let Some(address) = config.discovery else {
             let _ = inbox.send(Input::List(listing.news(config.known.clone())));
-            let targets = config.known.targets.clone();
             spawn_local(static_list::run(
-                targets,
-                longest_deadline,
+                config.known.targets.clone(),
+                longest_deadline(config),
                 clock,
                 listing.clone(),
-                asked,
+                call_queue,
                 inbox.clone(),
             ));
-            None
+            return ListSource { listing, discovery: None, calls };
+        };
+        let mode = config.settings.discovery;
+        let discovery = Discovery::new(address, mode, listing.clone(), config.seed, inbox.clone());
+        let _ = inbox.send(Input::List(discovery.cached(config.known.clone())));
+        spawn_local(discovery.clone().run(call_queue));
+        ListSource { listing, discovery: Some(discovery), calls }
+    }
+
+    /// Waits for the current list: the known one may be as old as the predecessor.
+    async fn wait_for_fresh_list(&self) {
+        let Some(discovery) = &self.discovery else { return };
+        let start = Instant::now();
+        let mut requested_at: Option<Instant> = None;
+        while !discovery.is_fresh() && start.elapsed() < FRESH_LIST_TIMEOUT {
+            if requested_at.is_none_or(|at| at.elapsed() >= FRESH_LIST_REQUEST_INTERVAL) {
+                requested_at = Some(Instant::now());
+                let _ = self.calls.send(Call::Fetch); // fails only while the process ends
+            }
+            sleep(FRESH_LIST_CHECK_INTERVAL).await;
         }
-    };
-    let attempts = config.settings.limits.max_attempts;
-    let (folder, zones) = (&config.state_dir, &config.names.areas);
-    let keyed = Keyed::open(folder, config.listen, &config.settings, zones, figures.clone(), clock);
-    let (bans_held, life) = (bans.clone(), lifecycle.clone());
-    let reloader = Reloader::new(loaded, figures.clone(), calls.clone(), log);
-    let mut fleet = crate::member::join(&config, &figures, &fleet_commands, clock, reloader.clone());
-    let sight = fleet.sight.clone();
-    let parts =
-        Parts { outbound: outbound.clone(), listing, bans: bans_held, lifecycle: life, keyed, sight };
-    let driver = Driver::new(balancer, clock, attempts, parts, calls.clone(), inbox);
-    let mut driver = spawn_local(driver.run(inputs, commanded));
-    spawn_local(outbound.clone().sweep());
-    spawn_local(tell_dropped(counts));
-    info!(name = config.name, listen = %config.listen, "serving");
-    let succeeds = before.is_some();
-    if let Some(talk) = before {
-        handover.follow(talk);
     }
-    fleet.begun().await;
-    let mut serving = pin!(inbound.serve(listener, handover.clone()));
-    let mut offered = pin!(async {
-        if let Some(discovery) = discovery.filter(|_| succeeds) {
-            fresh_list(&discovery, &calls).await;
+}
+
+/// The last steps before the process is ready.
+struct Startup {
+    lifecycle: Rc<Lifecycle>,
+    handover: Rc<Handover>,
+    bans: Rc<EndpointBans>,
+    outbound: Rc<Outbound>,
+    list_source: ListSource,
+    learned_state: Rc<LearnedState>,
+}
+
+impl Startup {
+    /// Makes the process ready, and then hands over to successors. Does not return.
+    async fn run(&self, has_predecessor: bool) {
+        if has_predecessor {
+            self.list_source.wait_for_fresh_list().await;
         }
-        // As late as can be: what was learnt until now is the freshest, and this module has none of its own.
-        match handover.learn().await {
-            Some(bytes) => drop(learnt.give(&bytes, "the process before").await),
-            None => learnt.read().await,
+        // As late as possible: the predecessor's state is most current then, and this process has learned nothing yet.
+        match self.handover.request_learned_state().await {
+            Some(bytes) => drop(self.learned_state.restore(&bytes, "the process before").await),
+            None => self.learned_state.restore_from_file().await,
         }
-        lifecycle.complete();
-        spawn_local(learnt.keep(lifecycle.clone(), handover.clone()));
-        handover.clone().offer(bans, lifecycle.clone(), outbound.clone()).await;
+        self.lifecycle.start_completed();
+        let handover = self.handover.clone();
+        let has_successor = move || handover.has_successor();
+        spawn_local(self.learned_state.clone().write_periodically(self.lifecycle.clone(), has_successor));
+        let handover = self.handover.clone();
+        handover.serve_successors(self.bans.clone(), self.lifecycle.clone(), self.outbound.clone()).await;
         std::future::pending::<()>().await;
-    });
-    loop {
-        tokio::select! {
-            () = &mut serving => break,
-            () = &mut offered => {}
-            ended = &mut driver => return Err(format!("the driver ended: {ended:?}")),
-            _ = term.recv() => lifecycle.terminate(),
-            _ = int.recv() => lifecycle.terminate(),
-            _ = hup.recv() => reloader.file(),
-        }
     }
-    let left = lifecycle.shutdown().map(|end| end.kill().saturating_duration_since(Instant::now()));
-    fleet.leave(left.unwrap_or_default()).await;
-    Ok(())
-}
-
-/// The clients' listener: handed over by the process before this one, or bound anew.
-async fn open(config: &Config, handover: &Rc<Handover>) -> Result<Doors, String> {
-    let bans = Bans::load(&config.state_dir, config.listen);
-    let handed = if config.replaces { handover.take().await } else { None };
-    let (listener, before) = match handed {
-        Some(Taken { listener, bans: held, talk }) => {
-            bans.replace(held);
-            (listener, Some(talk))
+}
+
+/// A sidecar whose driver runs, and which does not accept clients yet.
+struct Sidecar {
+    config: Config,
+    inbound: Rc<Inbound>,
+    reloader: Rc<Reloader>,
+    fleet: FleetMembership,
+    driver: JoinHandle<()>,
+    startup: Startup,
+}
+
+impl Sidecar {
+    /// Creates and connects the parts, and starts the driver.
+    fn start(loaded: Loaded, log: LogControl, base: Base, bans: Rc<EndpointBans>) -> Self {
+        let Base { clock, balancer, budget, figures, lifecycle, handover, commands, command_queue } = base;
+        let config = loaded.config.clone();
+        let (inbox, inputs) = mpsc::unbounded_channel();
+        let outbound = new_outbound(&config, &budget, &figures);
+        let inbound = Inbound::new(
+            config.settings.clone(),
+            &config.names,
+            budget,
+            outbound.clone(),
+            lifecycle.clone(),
+            figures.clone(),
+            inbox.clone(),
+        );
+        let learned_state =
+            new_learned_state(&config, clock, commands.clone(), inbox.clone(), figures.clone());
+        handover.set_learned_state(learned_state.clone());
+        let list_source = ListSource::start(&config, clock, &inbox);
+        let idempotency_keys = open_idempotency_keys(&config, clock, figures.clone());
+        let calls = list_source.calls.clone();
+        let reloader = Reloader::new(loaded, figures.clone(), calls.clone(), log);
+        let fleet = member::join(&config, &figures, &commands, clock, reloader.clone());
+        let parts = Parts {
+            outbound: outbound.clone(),
+            listing: list_source.listing.clone(),
+            bans: bans.clone(),
+            lifecycle: lifecycle.clone(),
+            idempotency_keys,
+            call_observer: fleet.call_observer.clone(),
+        };
+        let max_attempts = config.settings.limits.max_attempts;
+        let driver = Driver::new(balancer, clock, max_attempts, parts, calls, inbox);
+        let driver = spawn_local(driver.run(inputs, command_queue));
+        spawn_local(outbound.clone().sweep());
+        let startup = Startup { lifecycle, handover, bans, outbound, list_source, learned_state };
+        Sidecar { config, inbound, reloader, fleet, driver, startup }
+    }
+
+    /// Serves clients until the process is terminated and they are drained.
+    async fn serve(
+        mut self,
+        listener: TcpListener,
+        predecessor: Option<Connection>,
+        mut signals: Signals,
+    ) -> Result<(), ServeError> {
+        info!(name = self.config.name, listen = %self.config.listen, "serving");
+        let (lifecycle, handover) = (self.startup.lifecycle.clone(), self.startup.handover.clone());
+        let has_predecessor = predecessor.is_some();
+        if let Some(connection) = predecessor {
+            handover.follow_predecessor(connection);
         }
-        None => {
-            let hint = "; `--replace` takes over from a curlewhub that serves there";
-            let bound = handover::bind(config.listen, config.replaces);
-            (bound.map_err(|e| taken("listen", config.listen, &e, hint))?, None)
+        self.fleet.wait_for_view().await;
+        let mut serving = pin!(self.inbound.serve(listener, handover));
+        let mut startup = pin!(self.startup.run(has_predecessor));
+        loop {
+            tokio::select! {
+                () = &mut serving => break,
+                () = &mut startup => {}
+                ended = &mut self.driver => return Err(ServeError::DriverEnded(ended)),
+                request = signals.next() => match request {
+                    SignalRequest::Terminate => lifecycle.terminate(),
+                    SignalRequest::Reload => self.reloader.file(),
+                }
+            }
         }
-    };
-    handover.keep(&listener).map_err(|e| format!("listen: {}: {e}", config.listen))?;
-    Ok(Doors { listener, before, bans })
+        let shutdown = lifecycle.shutdown();
+        let time_left = shutdown.map(|end| end.kill_at().saturating_duration_since(Instant::now()));
+        self.fleet.leave(time_left.unwrap_or_default()).await;
+        Ok(())
+    }
 }
 
-/// Why an address can't be listened on.
-fn taken(field: &str, at: SocketAddr, error: &io::Error, hint: &str) -> String {
-    match error.kind() {
-        io::ErrorKind::AddrInUse => format!("{field}: {at}: another program listens there already{hint}"),
-        _ => format!("{field}: {at}: {error}"),
+fn longest_deadline(config: &Config) -> Duration {
+    config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
+}
+
+fn new_outbound(config: &Config, budget: &Rc<Budget>, figures: &Rc<Figures>) -> Rc<Outbound> {
+    let terms = Terms { sidecars: config.settings.balancers, accepts: config.endpoint_connections };
+    let slots = Slots::new(terms, config.seed);
+    Outbound::new(&config.settings, budget.clone(), slots, figures.clone())
+}
+
+fn new_learned_state(
+    config: &Config,
+    clock: Clock,
+    commands: Commands,
+    inbox: Inbox,
+    figures: Rc<Figures>,
+) -> Rc<LearnedState> {
+    let store = Store::new(&config.state_dir, config.listen);
+    LearnedState::new(clock, fingerprint(&config.settings), store, commands, inbox, figures)
+}
+
+fn open_idempotency_keys(config: &Config, clock: Clock, figures: Rc<Figures>) -> IdempotencyKeys {
+    let zones = &config.names.areas;
+    IdempotencyKeys::open(&config.state_dir, config.listen, &config.settings, zones, figures, clock)
+}
+
+fn warn_of_overridden_settings(config: &Config) {
+    for note in &config.notes {
+        warn!(field = note.field, problem = note.problem, "configuration: taken as if it were otherwise");
     }
 }
 
-async fn tell_dropped(counts: Counts) {
+async fn log_dropped_lines(counts: Counts) {
     let mut unwritten = 0;
     loop {
-        sleep(DROPPED_EVERY).await;
+        sleep(DROPPED_LINES_INTERVAL).await;
         counts.log(&mut unwritten);
     }
 }
-
-/// Waits for the list as discovery has it now: the known one may be as old as the process before.
-async fn fresh_list(discovery: &Rc<Discovery>, calls: &UnboundedSender<Call>) {
-    let start = Instant::now();
-    let mut asked = None;
-    while !discovery.is_fresh() && start.elapsed() < FRESH_MOST {
-        if asked.is_none_or(|at: Instant| at.elapsed() >= FRESH_ASK) {
-            asked = Some(Instant::now());
-            let _ = calls.send(Call::Fetch); // fails only while the process ends
-        }
-        sleep(FRESH_CHECK).await;
-    }
-}
--- a/crates/runtime/src/connect.rs
+++ b/crates/runtime/src/connect.rs
@@ -1,4 +1,4 @@
-//! Opening a connection, and what it says when none comes up: whether the endpoint or this machine is at fault.
+//! Opening a connection to an endpoint, and classifying a failure: whether the endpoint or this machine is at fault.
 
 use super::interrupts::uninterrupted_async;
 use curlewhub_balance::EndpointId;
@@ -10,32 +10,33 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// So many faults in a row on the way to one endpoint are put down to this machine; further ones only where most
-/// endpoints are as hard to reach.
-const ROUTE_FAULTS: u32 = 2;
+/// Up to this many consecutive route faults of one endpoint count as local; further ones only if more than half of all
+/// endpoints have route faults.
+const MAX_LOCAL_FAULTS: u32 = 2;
 
-/// Why no connection came up.
+/// Why a connection could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// This machine is out of something: descriptors, memory, buffers. It says nothing of the endpoint.
+    /// This machine lacks a resource: descriptors, memory, buffers. It says nothing about the endpoint.
     #[error("this machine can open no connection now: {0}")]
     Resources(#[source] io::Error),
-    /// This machine has no port or no route for it just now. One that lasts may be the endpoint's alone.
+    /// This machine has no port or no route at the moment. A lasting one may be a fault of the endpoint's address alone:
+    /// see [`RouteFaults`].
     #[error("this machine has no way to the endpoint now: {0}")]
     Route(#[source] io::Error),
-    /// The endpoint's machine says no.
+    /// The endpoint's machine refused the connection.
     #[error("the endpoint refuses the connection")]
     Refused,
-    /// Nothing was heard of it in time.
+    /// There was no reply within the timeout.
     #[error("no connection within {0:?}")]
     TimedOut(Duration),
-    /// It failed on the way or at the endpoint.
+    /// It failed in the network or at the endpoint.
     #[error("the connection failed: {0}")]
     Failed(#[source] io::Error),
 }
 
 impl From<io::Error> for ConnectError {
-    /// By the pages of connect(2), socket(2) and tcp(7).
+    /// Classifies an error according to connect(2), socket(2) and tcp(7).
     fn from(error: io::Error) -> Self {
         match Errno::from_io_error(&error) {
             _ if is_local(&error) => ConnectError::Resources(error),
@@ -48,7 +49,7 @@
     }
 }
 
-/// Whether an error of any call on a socket is of this machine alone: it is out of something for a moment.
+/// Whether an error of a call on a socket is local: this machine lacks a resource for a moment.
 pub fn is_local(error: &io::Error) -> bool {
     matches!(
         Errno::from_io_error(error),
@@ -56,48 +57,52 @@
     )
 }
 
-/// Opens a connection. A machine that is cut off never answers: the time is limited.
-pub async fn connect(address: SocketAddr, within: Duration) -> Result<TcpStream, ConnectError> {
+/// Opens a connection; an unreachable machine never answers, so the time is limited.
+///
+/// # Errors
+/// See [`ConnectError`].
+pub async fn connect(address: SocketAddr, limit: Duration) -> Result<TcpStream, ConnectError> {
     let connect = uninterrupted_async(async || TcpStream::connect(address).await);
-    let stream = timeout(within, connect).await.map_err(|_| ConnectError::TimedOut(within))??;
+    let stream = timeout(limit, connect).await.map_err(|_| ConnectError::TimedOut(limit))??;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
 
-/// Faults in a row on the way to one endpoint.
+/// Consecutive route faults of one endpoint.
 #[derive(Debug)]
 struct Streak {
+    /// Time of the first fault.
     since: Duration,
     faults: u32,
 }
 
-/// Tells a fault of the way to one endpoint from one of the way to all. It has an entry for each endpoint that could
-/// not be reached at the last try, and for no other.
+/// Distinguishes route faults of one endpoint from local ones, which affect all. It has an entry for each endpoint whose
+/// last connection attempt ended in a route fault, and for no other. Times are on one monotonic clock of the caller.
 #[derive(Debug, Default)]
-pub struct Routes {
+pub struct RouteFaults {
     streaks: HashMap<EndpointId, Streak>,
-    /// When a connection last came up.
-    connected: Option<Duration>,
+    /// Time of the last successful connection to any endpoint.
+    last_connected: Option<Duration>,
 }
 
-impl Routes {
-    /// A connection came up.
-    pub fn connects(&mut self, now: Duration, endpoint: EndpointId) {
-        self.connected = Some(now);
+impl RouteFaults {
+    /// Records a successful connection.
+    pub fn connected(&mut self, now: Duration, endpoint: EndpointId) {
+        self.last_connected = Some(now);
         self.streaks.remove(&endpoint);
     }
 
-    /// There was no way to an endpoint, one of so many. Whether that is this machine's fault: not where others have
-    /// been reached since, nor where it lasts and most endpoints know nothing of it.
+    /// Records a route fault of one of `listed` endpoints. Returns whether it counts as local: not if any endpoint was
+    /// reached since this one's first fault, nor if it lasts while at least half of the endpoints have none.
     pub fn is_local(&mut self, now: Duration, endpoint: EndpointId, listed: usize) -> bool {
         let streak = self.streaks.entry(endpoint).or_insert(Streak { since: now, faults: 0 });
         streak.faults = streak.faults.saturating_add(1);
         let (since, faults) = (streak.since, streak.faults);
-        let others_connect = self.connected.is_some_and(|at| at > since);
-        !others_connect && (faults <= ROUTE_FAULTS || self.streaks.len() * 2 > listed)
+        let others_connect = self.last_connected.is_some_and(|at| at > since);
+        !others_connect && (faults <= MAX_LOCAL_FAULTS || self.streaks.len() * 2 > listed)
     }
 
-    /// The endpoint is left.
+    /// Removes an endpoint that is no longer listed.
     pub fn forget(&mut self, endpoint: EndpointId) {
         self.streaks.remove(&endpoint);
     }
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -2,16 +2,16 @@
 //! actions. It decides nothing, but keeps what must hold whatever is decided: one final answer a
 //! request, no attempt beyond the limit or the deadline, nothing sent for what is finished.
 
-use super::bans::Bans;
+use super::call_observer::CallObserver;
 use super::clock::Clock;
+use super::endpoint_bans::EndpointBans;
 use super::events::{Answer, Arrival, Call, Client, Command, Ended, Forward, Inbox, Input, News};
 use super::figures::Hosts;
-use super::keyed::Keyed;
+use super::handover::overlap::{BalancerAccess, Overlap};
+use super::idempotency_keys::IdempotencyKeys;
 use super::lifecycle::{Lifecycle, State};
 use super::listing::Listing;
 use super::outbound::{Outbound, Progress, Terms};
-use super::sharing::{Module, Sharing};
-use super::sight::Sight;
 use super::time_left::TimeLeft;
 use super::timers::Timers;
 use curlewhub_balance::{
@@ -65,14 +65,14 @@
     pub outbound: Rc<Outbound>,
     /// The list.
     pub listing: Rc<Listing>,
-    /// What operators have taken out of use.
-    pub bans: Rc<Bans>,
+    /// Endpoints that operators have banned.
+    pub bans: Rc<EndpointBans>,
     /// Whether the process is to end.
     pub lifecycle: Rc<Lifecycle>,
-    /// Keyed jobs that may have run.
-    pub keyed: Keyed,
-    /// Who sees how attempts end.
-    pub sight: Rc<dyn Sight>,
+    /// Idempotency keys of jobs that may have run.
+    pub idempotency_keys: IdempotencyKeys,
+    /// Observes attempts and zone probes.
+    pub call_observer: Rc<dyn CallObserver>,
 }
 
 /// Owns the module, its timers, and the requests and attempts in flight.
@@ -89,18 +89,18 @@
     summary_at: Instant,
     outbound: Rc<Outbound>,
     listing: Rc<Listing>,
-    bans: Rc<Bans>,
+    bans: Rc<EndpointBans>,
     lifecycle: Rc<Lifecycle>,
-    keyed: Keyed,
-    sight: Rc<dyn Sight>,
+    idempotency_keys: IdempotencyKeys,
+    call_observer: Rc<dyn CallObserver>,
     /// Probes of zones so far.
     probes: usize,
     /// Their ids.
     banned: HashSet<EndpointId>,
     /// Endpoints that are listed and drain.
     draining: HashSet<EndpointId>,
-    /// With the processes beside this one.
-    sharing: Sharing,
+    /// Division of the overlap quota with another process.
+    overlap: Overlap,
     calls: UnboundedSender<Call>,
     inbox: Inbox,
 }
@@ -115,7 +115,7 @@
         calls: UnboundedSender<Call>,
         inbox: Inbox,
     ) -> Self {
-        let Parts { outbound, listing, bans, lifecycle, keyed, sight } = parts;
+        let Parts { outbound, listing, bans, lifecycle, idempotency_keys, call_observer } = parts;
         Driver {
             balancer,
             clock,
@@ -130,12 +130,12 @@
             listing,
             bans,
             lifecycle,
-            keyed,
-            sight,
+            idempotency_keys,
+            call_observer,
             probes: 0,
             banned: HashSet::new(),
             draining: HashSet::new(),
-            sharing: Sharing::default(),
+            overlap: Overlap::default(),
             calls,
             inbox,
         }
@@ -156,8 +156,8 @@
         }
         loop {
             let next = self.timers.next().unwrap_or(self.summary_at);
-            let next = self.sharing.next().map_or(next, |at| at.min(next));
-            let retry_at = self.keyed.retry_at().into_iter().chain(self.bans.retry_at()).min();
+            let next = self.overlap.sample_at().map_or(next, |at| at.min(next));
+            let retry_at = self.idempotency_keys.retry_at().into_iter().chain(self.bans.retry_at()).min();
             let next = retry_at.map_or(next, |at| at.min(next));
             tokio::select! {
                 biased;
@@ -178,12 +178,12 @@
         while let Some(token) = self.timers.take_due(now) {
             self.handle(Event::Timer(TimerToken(token)));
         }
-        self.keyed.retry();
+        self.idempotency_keys.retry();
         for uid in self.bans.retry() {
             self.hold_back(&uid, true);
         }
         let open = self.requests.len();
-        self.share(|sharing, module| sharing.look(open, module));
+        self.share(|overlap, access| overlap.sample_if_due(open, access));
         if now >= self.summary_at {
             self.summary_at = now + SUMMARY;
             let mut counts: Vec<_> = self.unusual.drain().collect();
@@ -241,21 +241,21 @@
             Command::Hosts(told) => {
                 let down = self.balancer.avoided(self.clock.now());
                 let _ =
-                    told.send(Hosts { listed: self.addresses.len(), down, parts: self.sharing.parts() });
+                    told.send(Hosts { listed: self.addresses.len(), down, parts: self.overlap.parts() });
             }
             Command::Zones(rights) => self.handle(Event::Zones(rights)),
             Command::ProbeZone { zone, count, within } => self.probe_zone(zone, count, within),
-            Command::Learnt(told) => drop(told.send(self.balancer.snapshot(self.clock.now()))),
-            Command::Beside { link, before, say } => {
-                self.share(|sharing, module| sharing.beside(link, before, say, module));
+            Command::CaptureSnapshot(reply) => drop(reply.send(self.balancer.snapshot(self.clock.now()))),
+            Command::PeerConnected { link, is_predecessor, send } => {
+                self.share(|overlap, access| overlap.peer_connected(link, is_predecessor, send, access));
             }
-            Command::Said(link, said) => {
-                self.share(|sharing, module| sharing.hears(link, said, module));
+            Command::PeerMessage(link, message) => {
+                self.share(|overlap, access| overlap.message_received(link, message, access));
             }
-            Command::Left(link) => {
-                self.keyed.absorb(self.clock.now());
+            Command::PeerDisconnected(link) => {
+                self.idempotency_keys.import_journals(self.clock.now());
                 let ending = self.lifecycle.state() == State::Terminating;
-                self.share(|sharing, module| sharing.left(link, ending, module));
+                self.share(|overlap, access| overlap.peer_disconnected(link, ending, access));
             }
             Command::Ban { uid, on, known, told } => drop(told.send(self.ban(&uid, on, known))),
         }
@@ -303,10 +303,12 @@
         }
         if let Some(key) = key {
             // The process beside this one may have been killed just now, and this be the repeat.
-            if self.sharing.is_beside() && !self.keyed.knows(self.clock.now(), key) {
-                self.keyed.absorb(self.clock.now());
+            if self.overlap.has_connected_process()
+                && !self.idempotency_keys.contains(self.clock.now(), key)
+            {
+                self.idempotency_keys.import_journals(self.clock.now());
             }
-            request.earlier = self.keyed.earlier(self.clock.now(), key);
+            request.earlier = self.idempotency_keys.earlier_send(self.clock.now(), key);
         }
         request.time_left = deadline.saturating_duration_since(Instant::now());
         debug!(request = request.id.0, class = request.class.0, tenant = request.tenant.0, "request");
@@ -316,7 +318,7 @@
         let (answer, tries, out, noted) = (Some(answer), Vec::new(), 0, false);
         let open = Open { forward, deadline, coming, answer, client, tries, out, class, key, noted };
         self.requests.insert(request.id, open);
-        self.sharing.came();
+        self.overlap.request_arrived();
         self.handle(Event::Request(request));
     }
 
@@ -355,7 +357,7 @@
             open.noted = false; // it stays remembered
         } else if let Some(key) = open.key.filter(|_| open.noted && open.out == 0) {
             open.noted = false;
-            self.keyed.did_not_run(key);
+            self.idempotency_keys.forget_send(key);
         }
         debug!(
             request = id.0,
@@ -365,7 +367,7 @@
             micros = elapsed.as_micros() as u64,
             "attempt ended"
         );
-        self.sight.ended((id, attempt), outcome, elapsed);
+        self.call_observer.attempt_ended((id, attempt), outcome, elapsed);
         if outcome == Outcome::TimedOut {
             self.outbound.close_unheard(endpoint, sent);
         }
@@ -453,11 +455,12 @@
         self.handle(Event::Membership(news.membership));
     }
 
-    /// Lets the sharing go on, and carries out what the module then wants done.
-    fn share(&mut self, go_on: impl FnOnce(&mut Sharing, &mut Module<'_>)) {
+    /// Lets the overlap use the balancer, and carries out the actions that it returns.
+    fn share(&mut self, update: impl FnOnce(&mut Overlap, &mut BalancerAccess<'_>)) {
         let mut actions = Vec::new();
-        let mut module = Module { now: self.clock.now(), balancer: &mut self.balancer, out: &mut actions };
-        go_on(&mut self.sharing, &mut module);
+        let now = self.clock.now();
+        let mut access = BalancerAccess { now, balancer: &mut self.balancer, actions: &mut actions };
+        update(&mut self.overlap, &mut access);
         self.settle(actions);
     }
 
@@ -547,7 +550,7 @@
             return self.count(outcome_name(Outcome::Moot));
         };
         if let (Some(key), Some((zone, cell))) = (open.key, self.balancer.place(endpoint)) {
-            open.noted |= self.keyed.goes(self.clock.now(), key, open.class, zone, cell);
+            open.noted |= self.idempotency_keys.record_send(self.clock.now(), key, open.class, zone, cell);
         }
         let (cancel, mut cancelled) = oneshot::channel();
         open.tries.push(Try { endpoint, sent: now, cancel: Some(cancel) });
@@ -555,11 +558,11 @@
         // While a body still comes no endpoint takes any time over it.
         if open.coming.is_none() {
             let zone = || self.balancer.place(endpoint).map(|(zone, _)| zone);
-            self.sight.began((id, attempt), open.class, &zone);
+            self.call_observer.attempt_started((id, attempt), open.class, &zone);
         }
         let request = open.forward.request(address);
         let time_left = match open.coming {
-            Some(time) => TimeLeft::of_whole(open.deadline.subscribe(), time),
+            Some(time) => TimeLeft::after_body(open.deadline.subscribe(), time),
             None => TimeLeft::until(open.deadline.subscribe(), until),
         };
         let mut deadline = open.deadline.subscribe();
@@ -600,13 +603,13 @@
         there.sort_unstable();
         if there.is_empty() {
             // Nobody is listed there: as good as nobody who answers.
-            (0..count).for_each(|_| self.sight.probed(zone, false));
+            (0..count).for_each(|_| self.call_observer.zone_probe_ended(zone, false));
         }
         for _ in 0..there.len().min(count as usize) {
             self.probes = self.probes.wrapping_add(1);
             let endpoint = there[self.probes % there.len()];
-            let (outbound, address, sight) =
-                (self.outbound.clone(), self.addresses[&endpoint], self.sight.clone());
+            let (outbound, address, observer) =
+                (self.outbound.clone(), self.addresses[&endpoint], self.call_observer.clone());
             spawn_local(async move {
                 let ended =
                     timeout(within, outbound.probe(endpoint, address)).await.map(|ended| ended.outcome);
@@ -614,7 +617,10 @@
                     return; // nobody was asked
                 }
                 // Whatever it says, somebody is there who says it.
-                sight.probed(zone, matches!(ended, Ok(Outcome::Ok | Outcome::Error | Outcome::Full)));
+                observer.zone_probe_ended(
+                    zone,
+                    matches!(ended, Ok(Outcome::Ok | Outcome::Error | Outcome::Full)),
+                );
             });
         }
     }
--- a/crates/runtime/src/events.rs
+++ b/crates/runtime/src/events.rs
@@ -51,8 +51,8 @@
 pub enum Command {
     /// How many endpoints are listed, and how many of them avoided.
     Hosts(oneshot::Sender<Hosts>),
-    /// What the module has learnt.
-    Learnt(oneshot::Sender<Snapshot>),
+    /// Replies with a snapshot of the balancer's learned state.
+    CaptureSnapshot(oneshot::Sender<Snapshot>),
     /// Take the endpoint of this uid out of use, or give it back.
     Ban {
         /// The uid.
@@ -75,28 +75,28 @@
         /// The time.
         within: Duration,
     },
-    /// Another process of this sidecar is there.
-    Beside {
-        /// The number of the connection to it.
+    /// Another process of this sidecar has connected.
+    PeerConnected {
+        /// The number of the connection.
         link: u64,
-        /// It was there before this one.
-        before: bool,
-        /// Says something to it.
-        say: Box<dyn Fn(Said)>,
+        /// Whether it is this process's predecessor, or else its successor.
+        is_predecessor: bool,
+        /// Sends a message to it.
+        send: Box<dyn Fn(OverlapMessage)>,
     },
-    /// It says something.
-    Said(u64, Said),
-    /// It has gone.
-    Left(u64),
+    /// The process behind this connection has sent a message.
+    PeerMessage(u64, OverlapMessage),
+    /// The process behind this connection has exited.
+    PeerDisconnected(u64),
 }
 
-/// What processes that share tell each other.
+/// Messages by which two processes of a sidecar divide the overlap quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Said {
-    /// How much it needs.
-    Need(u32),
-    /// It gives so many parts, and what goes along with them.
-    Give(u32, Portion),
+pub enum OverlapMessage {
+    /// The sender's demand.
+    Demand(u32),
+    /// Parts that the sender gives away, and the balancer state that belongs to them.
+    Parts(u32, Portion),
 }
 
 /// A request as it came in.
--- /dev/null
+++ b/crates/runtime/src/handover/peer.rs
@@ -0,0 +1,68 @@
+//! The other process of a handover, while it lives: messages to it, and the replies that are awaited from it.
+
+use super::overlap::SendMessage;
+use super::protocol::Message;
+use std::cell::{Cell, RefCell};
+use std::collections::VecDeque;
+use std::rc::Rc;
+use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
+use tokio::sync::oneshot;
+
+/// A connected predecessor or successor.
+pub(super) struct Peer {
+    /// Identifies it among the connections of this process.
+    pub(super) link: u64,
+    outgoing: UnboundedSender<Message>,
+    /// Callers that await the acknowledgement of a ban, in the order of sending.
+    awaiting_ban: RefCell<VecDeque<oneshot::Sender<()>>>,
+    /// The caller that awaits the learned state.
+    awaiting_learned_state: Cell<Option<oneshot::Sender<Vec<u8>>>>,
+}
+
+impl Peer {
+    /// A peer, and the queue of messages that are to be written to it.
+    pub(super) fn new(link: u64) -> (Rc<Self>, UnboundedReceiver<Message>) {
+        let (outgoing, queue) = unbounded_channel();
+        let (awaiting_ban, awaiting_learned_state) = Default::default();
+        (Rc::new(Peer { link, outgoing, awaiting_ban, awaiting_learned_state }), queue)
+    }
+
+    /// Queues a message; it is dropped if the peer has disconnected.
+    pub(super) fn send(&self, message: Message) {
+        let _ = self.outgoing.send(message);
+    }
+
+    /// A function that sends overlap messages to the peer.
+    pub(super) fn overlap_sender(&self) -> SendMessage {
+        let outgoing = self.outgoing.clone();
+        Box::new(move |message| drop(outgoing.send(Message::Overlap(message))))
+    }
+
+    /// Sends a ban or its end; resolves once the peer has acknowledged it.
+    pub(super) fn send_ban(&self, uid: &str, banned: bool) -> oneshot::Receiver<()> {
+        let (reply, acknowledged) = oneshot::channel();
+        self.awaiting_ban.borrow_mut().push_back(reply);
+        self.send(Message::Ban { uid: uid.to_owned(), banned });
+        acknowledged
+    }
+
+    pub(super) fn ban_acknowledged(&self) {
+        if let Some(reply) = self.awaiting_ban.borrow_mut().pop_front() {
+            let _ = reply.send(()); // the caller may have given up
+        }
+    }
+
+    /// Asks for the learned state; resolves once it was received.
+    pub(super) fn request_learned_state(&self) -> oneshot::Receiver<Vec<u8>> {
+        let (reply, received) = oneshot::channel();
+        self.awaiting_learned_state.set(Some(reply));
+        self.send(Message::LearnedStateRequest);
+        received
+    }
+
+    pub(super) fn learned_state_received(&self, bytes: Vec<u8>) {
+        if let Some(reply) = self.awaiting_learned_state.take() {
+            let _ = reply.send(bytes); // the caller may have given up
+        }
+    }
+}
--- a/crates/runtime/src/inbound/connection.rs
+++ b/crates/runtime/src/inbound/connection.rs
@@ -232,7 +232,7 @@
 
     /// How long something may take on a connection, less where the process is to end sooner.
     fn before_the_end(&self, wanted: Duration) -> Duration {
-        self.lifecycle.shutdown().map_or(wanted, |end| end.bound(wanted, Instant::now()))
+        self.lifecycle.shutdown().map_or(wanted, |end| end.limit(wanted, Instant::now()))
     }
 
     /// Whether a connection that is to be closed can be: not where a request, or a part of one, came in the meantime
--- a/crates/runtime/src/inbound/mod.rs
+++ b/crates/runtime/src/inbound/mod.rs
@@ -73,7 +73,8 @@
         inbox: Inbox,
     ) -> Rc<Self> {
         let list = |names: &[curlewhub_config::Named]| names.iter().map(|n| n.name.clone()).collect();
-        let grouped = crate::keyed::windows(&settings).iter().map(Option::is_some).collect();
+        let grouped =
+            crate::idempotency_keys::repeat_windows(&settings).iter().map(Option::is_some).collect();
         Rc::new(Inbound {
             classes: list(&names.classes),
             tenants: list(&names.tenants),
@@ -96,12 +97,12 @@
         spawn_local(self.clone().part_from_idle());
         tokio::select! {
             // Until then the process before accepts, as long as it lives.
-            () = self.lifecycle.reaches(|state| state != State::Starting) => {}
-            () = handover.alone() => {}
+            () = self.lifecycle.wait_for(|state| state != State::Starting) => {}
+            () = handover.predecessor_exited() => {}
         }
         let end = loop {
             tokio::select! {
-                end = self.lifecycle.told_to_end() => break end,
+                end = self.lifecycle.terminating() => break end,
                 () = self.accept(&listener) => {}
             }
         };
@@ -112,8 +113,8 @@
     async fn shut_down(self: &Rc<Self>, listener: TcpListener, handover: &Handover, end: ShutdownDeadline) {
         info!(clients = self.budget.clients(), "draining");
         let succeeded = handover.has_successor();
-        let drains = end.begins(Phase::Draining, succeeded);
-        let fails = end.begins(Phase::Failing, succeeded);
+        let drains = end.start_of(Phase::Draining, succeeded);
+        let fails = end.start_of(Phase::Failing, succeeded);
         if !succeeded {
             while timeout_at(drains, self.accept(&listener)).await.is_ok() {}
             // What still waits in the backlog counts as taken: closing the listener would reset it. A successor
@@ -121,21 +122,21 @@
             while Instant::now() < fails && timeout(BACKLOG_EMPTY, self.accept(&listener)).await.is_ok() {}
         }
         drop(listener);
-        handover.withdraw();
+        handover.close_listener();
         let _ = timeout_at(drains, self.all_gone()).await;
         self.connections.borrow().values().for_each(|turn| turn.close.notify_one());
         if timeout_at(fails, self.all_gone()).await.is_err() {
             let _ = self.inbox.send(Input::GiveUp);
-            let _ = timeout_at(end.begins(Phase::Exiting, succeeded), self.all_gone()).await;
+            let _ = timeout_at(end.start_of(Phase::Exiting, succeeded), self.all_gone()).await;
         }
         self.connections.borrow().values().for_each(|turn| turn.cut_off());
-        info!(millis = end.asked().elapsed().as_millis() as u64, "drained");
+        info!(millis = end.requested_at().elapsed().as_millis() as u64, "drained");
     }
 
     /// While an operator has the sidecar drained, closes connections between requests.
     async fn part_from_idle(self: Rc<Self>) {
         loop {
-            self.lifecycle.reaches(|state| state == State::Draining).await;
+            self.lifecycle.wait_for(|state| state == State::Draining).await;
             if self.lifecycle.draining_since().is_some_and(|at| at.elapsed() >= DRAIN_IDLE) {
                 for turn in self.connections.borrow().values() {
                     let between = turn.idle().is_some() || turn.silent().is_some();
--- a/crates/runtime/src/interrupts.rs
+++ b/crates/runtime/src/interrupts.rs
@@ -1,5 +1,5 @@
-//! System calls that a signal has interrupted (EINTR) are made again: they have transferred nothing, and say nothing
-//! about the other end of a connection. Neither hyper nor tokio repeats them.
+//! Retries of system calls that a signal has interrupted (`EINTR`): they have transferred nothing, and say nothing about
+//! the other end of a connection. Neither hyper nor tokio retries them.
 
 use std::io::{self, ErrorKind, IoSlice};
 use std::pin::Pin;
@@ -7,19 +7,21 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpStream, UnixStream};
 
-/// A call that has been interrupted so often in a row is not made again, so that no call holds up the whole process.
-/// Signals never come in such numbers.
-const MAX_INTERRUPTS: usize = 100;
+/// Maximum retries of one call, so that no call blocks the whole process. Signals never arrive in such numbers.
+const MAX_RETRIES: usize = 100;
 
-/// Whether a call on a non-blocking socket transferred nothing and is to be made again: it was interrupted, or has to
-/// wait until the socket is ready. Who waits for readiness in between yields to other tasks from time to time.
+/// Whether a call on a non-blocking socket transferred nothing and is to be retried: it was interrupted, or the socket is
+/// not ready. A caller that awaits readiness before the retry yields to other tasks from time to time.
 pub fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock)
 }
 
-/// Makes a system call until it is not interrupted.
+/// Retries a system call while it is interrupted.
+///
+/// # Errors
+/// Any other error of the call, or the interruption of the last retry.
 pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for _ in 0..MAX_INTERRUPTS {
+    for _ in 0..MAX_RETRIES {
         match call() {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             result => return result,
@@ -28,9 +30,12 @@
     call()
 }
 
-/// The same for a call that waits for readiness, as accept does.
+/// As [`uninterrupted`], for a call that awaits readiness, such as accept.
+///
+/// # Errors
+/// Any other error of the call, or the interruption of the last retry.
 pub async fn uninterrupted_async<T>(mut call: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
-    for _ in 0..MAX_INTERRUPTS {
+    for _ in 0..MAX_RETRIES {
         match call().await {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             result => return result,
@@ -39,15 +44,21 @@
     call().await
 }
 
-/// A non-blocking stream socket: the calls that [`Uninterrupted`] needs of it.
+/// The calls of a non-blocking stream socket that [`Uninterrupted`] needs.
 pub trait StreamSocket: Unpin {
-    /// Ready once it may be read.
+    /// Polls until the socket is readable.
     fn poll_readable(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
-    /// Ready once it may be written.
+    /// Polls until the socket is writable.
     fn poll_writable(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
-    /// Reads what is there.
+    /// Reads available bytes without blocking.
+    ///
+    /// # Errors
+    /// Those of read(2), among them `WouldBlock` if none are available.
     fn read_now(&self, buffer: &mut [u8]) -> io::Result<usize>;
-    /// Writes what there is room for.
+    /// Writes as many bytes as the socket accepts without blocking.
+    ///
+    /// # Errors
+    /// Those of writev(2), among them `WouldBlock` if it accepts none.
     fn write_now(&self, parts: &[IoSlice<'_>]) -> io::Result<usize>;
 }
 
@@ -76,8 +87,8 @@
 stream_socket!(TcpStream);
 stream_socket!(UnixStream);
 
-/// A stream whose interrupted reads and writes are made again. A short read or write is not taken for an empty or
-/// full buffer of the kernel, as tokio's own streams take it.
+/// A stream whose interrupted reads and writes are retried. Unlike with tokio's own streams, a short read or write does
+/// not imply that the kernel's buffer is empty or full.
 pub struct Uninterrupted<S>(pub S);
 
 impl<S: StreamSocket> AsyncRead for Uninterrupted<S> {
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -5,28 +5,27 @@
 //! the answer goes back the same way. `events` holds the values that pass between them, so that none
 //! of them needs to know another's inside.
 
-pub mod bans;
 pub mod budget;
+pub mod call_observer;
 pub mod clock;
 pub mod connect;
 pub mod discovery;
 pub mod driver;
+pub mod endpoint_bans;
 pub mod events;
 pub mod figures;
 pub mod freshness;
 pub mod guard;
 pub mod handover;
+pub mod idempotency_keys;
 pub mod inbound;
 pub mod interrupts;
-pub mod keyed;
-pub mod learnt;
+pub mod learned_state;
 pub mod lifecycle;
 pub mod listing;
 pub mod operator;
 pub mod outbound;
-pub mod sharing;
 pub mod shutdown;
-pub mod sight;
 pub mod slots;
 pub mod socket;
 pub mod spares;
--- a/crates/runtime/src/outbound.rs
+++ b/crates/runtime/src/outbound.rs
@@ -1,7 +1,7 @@
 //! Connections to endpoints: attempts and probes, and how they end.
 
 use super::budget::{Budget, Holder, Permit};
-use super::connect::{ConnectError, Routes, connect};
+use super::connect::{ConnectError, RouteFaults, connect};
 use super::events::{Client, Ended, tell_time_left};
 use super::figures::Figures;
 use super::guard::Guard;
@@ -9,7 +9,7 @@
 use super::socket::{BUFFER_MOST, Heard, Socket};
 use super::spares::{REST, Spares};
 use super::streaming::{AnswerBody, BODY_MOST, FLOW_KIB, Flow, Payload, Sending, WHOLE_MOST};
-use super::time_left::{TOLD_WITHIN, TimeLeft};
+use super::time_left::{MAX_WRITE_DELAY, TimeLeft};
 use curlewhub_balance::{EndpointId, LoadField, Outcome, Settings};
 use curlewhub_connection_quota::{Leave, Refusal};
 use http_body_util::BodyExt;
@@ -175,7 +175,7 @@
     /// What waits for resting connections have added up to.
     spares: RefCell<Spares>,
     /// Endpoints that this machine had no way to.
-    routes: RefCell<Routes>,
+    routes: RefCell<RouteFaults>,
     since: Instant,
     connect_timeout: Duration,
     idle_most: Duration,
@@ -267,7 +267,7 @@
             // been told, a client gone, a window for repeats passed, or the time that is told been held up.
             let (this, terms) = (self.clone(), progress.terms.clone());
             link.heard.begins(Box::new(move || {
-                let holds = |terms: &Terms| terms.hold() && read_at.elapsed() < TOLD_WITHIN;
+                let holds = |terms: &Terms| terms.hold() && read_at.elapsed() < MAX_WRITE_DELAY;
                 this.admits(endpoint, address) && terms.as_ref().is_none_or(holds)
             }));
             let headed = Cell::new(false);
@@ -596,7 +596,7 @@
             }
             Err(error) => return Err(NoLink::Ends(self.outcome_of(endpoint, &error))),
         };
-        self.routes.borrow_mut().connects(self.since.elapsed(), endpoint);
+        self.routes.borrow_mut().connected(self.since.elapsed(), endpoint);
         let (socket, heard) = Socket::new(stream);
         let handshake = http1::Builder::new().max_buf_size(BUFFER_MOST).handshake(TokioIo::new(socket));
         let (sender, connection) = handshake.await.map_err(|_| FAILED)?;
--- a/crates/runtime/src/time_left.rs
+++ b/crates/runtime/src/time_left.rs
@@ -1,46 +1,48 @@
-//! What is left of a client's time, read at the moment in which an endpoint is told of it.
+//! The remaining time of a client's deadline, as an endpoint is told it. It is read when the request is about to be
+//! written, not when the attempt starts, so that it does not include the wait for a connection.
 
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// What is told is written within this of being read, or not at all: the standing test grants 0.15 s of slack.
-pub const TOLD_WITHIN: Duration = Duration::from_millis(100);
+/// A request is written within this of reading its remaining time, or not at all: the standing test grants 0.15 s of
+/// slack.
+pub const MAX_WRITE_DELAY: Duration = Duration::from_millis(100);
 
-/// How much time an attempt may tell its endpoint.
+/// The attempt's own limit.
 #[derive(Clone)]
-enum Span {
-    /// Its request is here whole: until this.
+enum AttemptLimit {
+    /// The request's body is complete: the attempt ends then.
     Until(Instant),
-    /// Its request still comes, and its time runs from the last byte on.
-    OfWhole(Duration),
+    /// The request's body is still being received; the time runs from its last byte.
+    AfterBody(Duration),
 }
 
-/// What is left of the client's time for an attempt.
+/// The remaining time of an attempt.
 #[derive(Clone)]
 pub struct TimeLeft {
-    /// The request's own deadline; it moves once a body has come whole.
+    /// The request's deadline; it changes once its body is complete.
     deadline: watch::Receiver<Instant>,
-    span: Span,
+    limit: AttemptLimit,
 }
 
 impl TimeLeft {
-    /// Of an attempt that may take until then.
+    /// Of an attempt that ends then at the latest.
     pub fn until(deadline: watch::Receiver<Instant>, until: Instant) -> Self {
-        TimeLeft { deadline, span: Span::Until(until) }
+        TimeLeft { deadline, limit: AttemptLimit::Until(until) }
     }
 
-    /// Of an attempt of a request that still comes and has so long once it is whole.
-    pub fn of_whole(deadline: watch::Receiver<Instant>, time: Duration) -> Self {
-        TimeLeft { deadline, span: Span::OfWhole(time) }
+    /// Of an attempt whose request body is still being received, and that has this long after the last byte.
+    pub fn after_body(deadline: watch::Receiver<Instant>, time: Duration) -> Self {
+        TimeLeft { deadline, limit: AttemptLimit::AfterBody(time) }
     }
 
-    /// What is left at this moment.
+    /// The remaining time at `now`; zero once it has passed.
     pub fn at(&self, now: Instant) -> Duration {
-        let own = match self.span {
-            Span::Until(until) => until.saturating_duration_since(now),
-            Span::OfWhole(time) => time,
+        let attempt = match self.limit {
+            AttemptLimit::Until(until) => until.saturating_duration_since(now),
+            AttemptLimit::AfterBody(time) => time,
         };
-        own.min(self.deadline.borrow().saturating_duration_since(now))
+        attempt.min(self.deadline.borrow().saturating_duration_since(now))
     }
 }
