--- a/crates/runtime/src/connect.rs
+++ b/crates/runtime/src/connect.rs
@@ -22,7 +22,7 @@
     Resources(#[source] io::Error),
     /// This machine has no port or no route at the moment. A lasting one may be a fault of the endpoint's address alone:
     /// see [`RouteFaults`].
-    #[error("this machine has no way to the endpoint now: {0}")]
+    #[error("this machine has no route to the endpoint now: {0}")]
     Route(#[source] io::Error),
     /// The endpoint's machine refused the connection.
     #[error("the endpoint refuses the connection")]
--- a/crates/runtime/src/endpoint_bans.rs
+++ b/crates/runtime/src/endpoint_bans.rs
@@ -133,7 +133,7 @@
     /// The file can't be written, or has not been read yet and a write would lose its bans. Nothing changes then.
     pub fn set(&self, uid: &str, banned: bool) -> io::Result<()> {
         if let PendingIo::Read(_) = self.pending.get() {
-            return Err(io::Error::other("the bans before have not been read yet"));
+            return Err(io::Error::other("earlier bans have not been read yet"));
         }
         let mut new = self.banned.borrow().clone();
         let changed = if banned { new.insert(uid.to_owned()) } else { new.remove(uid) };
--- a/crates/runtime/src/idempotency_keys.rs
+++ b/crates/runtime/src/idempotency_keys.rs
@@ -163,7 +163,7 @@
         if let Err(error) = written
             && !std::mem::replace(&mut self.write_failing, true)
         {
-            warn!(%error, "keys: journal write failed; a crash now would forget where jobs may have run");
+            warn!(%error, "keys: can't be written; a crash now would forget where jobs may have run");
         }
     }
 }
--- a/crates/runtime/src/learned_state.rs
+++ b/crates/runtime/src/learned_state.rs
@@ -96,7 +96,7 @@
         self.store.remove_temporary_files();
         match self.store.read() {
             Ok(Some(bytes)) => drop(self.restore(&bytes, "file").await),
-            Ok(None) => info!("snapshot: none is kept here; starting with nothing learnt"),
+            Ok(None) => info!("snapshot: none is kept here; starting without learned state"),
             Err(e) => {
                 let path = self.store.path().display();
                 warn!(%path, error = %e, "snapshot: can't be read; starting without");
@@ -142,7 +142,7 @@
             Ok(()) => self.write_failing.set(false),
             Err(e) if !self.write_failing.replace(true) => {
                 let path = self.store.path().display();
-                warn!(%path, error = %e, "snapshot: can't be written; a crash would forget what was learnt");
+                warn!(%path, error = %e, "snapshot: can't be written; a crash would lose the learned state");
             }
             Err(_) => {}
         }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,9 +1,14 @@
-//! The sidecar's parts with I/O. They decide nothing: the decision module does, and the driver carries
-//! out what it wants done.
+//! The sidecar's I/O: sockets, timers, and files. It takes no balancing decisions: the driver turns what happens into
+//! events for `curlewhub-balance`, and carries out the actions that come back.
 //!
-//! A request's way: `inbound` reads it, `driver` asks the module, `outbound` makes the attempts, and
-//! the answer goes back the same way. `events` holds the values that pass between them, so that none
-//! of them needs to know another's inside.
+//! - A request: `inbound` reads it, `driver` passes it to the balancer, `outbound` makes the attempts, and the answer
+//!   returns on the same path.
+//! - The endpoint list: `discovery` or `static_list`, then `listing`.
+//! - State that outlives the process: `endpoint_bans`, `idempotency_keys`, `learned_state`; `handover` passes it on to a
+//!   successor process.
+//! - The process itself: `lifecycle` has its state, `shutdown` its last deadlines, `clock` its time.
+//!
+//! `events` has the values that pass between these parts, so that they depend on no internals of each other.
 
 pub mod budget;
 pub mod call_observer;
