--- a/crates/control-plane-node/src/store.rs
+++ b/crates/control-plane-node/src/store.rs
@@ -1,4 +1,5 @@
-//! What a process of the fleet keeps on disk, in one file of a store that syncs each commit.
+//! The durable state of a consensus server: raft log entries, snapshot, hard state, id and incarnation, in one database file
+//! that is synced at each commit.
 
 use crate::transient::retry_interrupted;
 use curlewhub_control_plane::consensus::{PersistedState, WriteBatch};
@@ -9,25 +10,26 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// The agreement's entries, by index.
+/// Raft log entries, by index.
 const ENTRIES: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("entries");
-/// Everything else, by name.
+/// Everything else, by name. Table and key names are part of the stored form.
 const STATE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("rest");
 const SNAPSHOT: &str = "snapshot";
 const HARD_STATE: &str = "hard state";
 const INCARNATION: &str = "incarnation";
-const KEEPER: &str = "keeper";
+/// The id of the server that owns the store.
+const OWNER: &str = "keeper";
 
-/// Why something could not be kept or read.
+/// Why a store can't be opened, read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The store says so: no room, no right, a torn file that can't be mended.
+    /// The database reports it: a full disk, missing permission, a torn file that can't be repaired.
     #[error("store: {0}")]
     Store(#[from] redb::Error),
-    /// What it holds is not what was kept.
+    /// The database is sound, but a value is missing or malformed.
     #[error("store: {0} can't be read")]
     Corrupt(&'static str),
-    /// It is another keeper's.
+    /// It belongs to the consensus server with the first id; this one has the second.
     #[error("it is the folder of keeper {0}, or a copy of it, and this is keeper {1}")]
     WrongOwner(u64, u64),
 }
@@ -56,8 +58,8 @@
 }
 
 impl StoreError {
-    /// Whether the same may succeed later with nobody's help: a full disk, a device error, a limit on open files. What the
-    /// file holds, whose it is, and whether it may be written at all do not change by waiting.
+    /// Whether a retry may succeed without an operator's help: after a full disk, a device error, a limit of open files. The
+    /// file's content, owner and permissions do not change by waiting.
     pub fn is_transient(&self) -> bool {
         use ErrorKind::{AlreadyExists, InvalidData, InvalidInput, IsADirectory, NotADirectory, NotFound};
         use ErrorKind::{PermissionDenied, UnexpectedEof, Unsupported};
@@ -80,15 +82,15 @@
     }
 }
 
-/// Opens a database in a file; a test opens one whose writes fail.
+/// Opens a database in a file; tests substitute one whose writes fail.
 pub type OpenDatabase = Rc<dyn Fn(File) -> Result<Database, DatabaseError>>;
 
-/// Opens a database in a file of this machine.
+/// Opens a database that reads and writes the file itself.
 pub fn open_database() -> OpenDatabase {
     Rc::new(|file| Builder::new().create_with_backend(FileBackend::new(file)?))
 }
 
-/// The file of a store, which is this process's alone for as long as this is held, also while the store is closed.
+/// A store's file, locked for this process until this value is dropped, also while the store is closed.
 pub struct StoreFile {
     path: PathBuf,
     open: OpenDatabase,
@@ -96,18 +98,19 @@
 }
 
 impl StoreFile {
-    /// Takes the file for this process.
+    /// Locks the file for this process.
     ///
     /// # Errors
-    /// Another process has it.
+    /// Another process has locked it, or the lock file can't be made.
     pub fn claim(path: &Path, open: OpenDatabase) -> Result<Rc<StoreFile>, StoreError> {
         let lock = File::options().create(true).append(true).open(path.with_extension("lock"))?;
-        match retry_interrupted(|| {
+        let locked = retry_interrupted(|| {
             lock.try_lock().map_err(|e| match e {
                 TryLockError::WouldBlock => ErrorKind::WouldBlock.into(),
                 TryLockError::Error(e) => e,
             })
-        }) {
+        });
+        match locked {
             Ok(()) => Ok(Rc::new(StoreFile { path: path.to_owned(), open, _lock: lock })),
             Err(e) if e.kind() == ErrorKind::WouldBlock => {
                 Err(redb::DatabaseError::DatabaseAlreadyOpen.into())
@@ -116,27 +119,27 @@
         }
     }
 
-    /// Opens the store, or makes an empty one where there is no file.
+    /// Opens the store, or creates an empty one if there is no file.
     ///
     /// # Errors
     /// It can't be opened or written.
     pub fn open_or_create(self: &Rc<Self>) -> Result<Store, StoreError> {
-        self.opened(File::options().read(true).write(true).create(true).truncate(false))
+        self.rewrite(File::options().read(true).write(true).create(true).truncate(false))
     }
 
-    /// Opens the store that is there.
+    /// Opens the store, which must exist.
     ///
     /// # Errors
-    /// There is none, or it can't be opened or written.
+    /// There is no file, or it can't be opened or written.
     pub fn reopen(self: &Rc<Self>) -> Result<Store, StoreError> {
-        self.opened(File::options().read(true).write(true))
+        self.rewrite(File::options().read(true).write(true))
     }
 
-    /// Opens the file, writes all that it holds to a new one, syncs that, and puts it in its place. After a sync that failed,
-    /// here or in an earlier process, what is read may be in the kernel's memory alone, and no later sync of the same pages
-    /// would write it: only what is written anew is known to be durable.
-    fn opened(self: &Rc<Self>, how: &std::fs::OpenOptions) -> Result<Store, StoreError> {
-        let old = (self.open)(how.open(&self.path)?)?;
+    /// Opens the file, copies its content to a new file, syncs that, and renames it over the old one. After a failed sync, in
+    /// this process or an earlier one, content that is read may exist in the page cache alone, and a later sync does not
+    /// write pages that the kernel has already marked as clean. Only content that is written again is known to be durable.
+    fn rewrite(self: &Rc<Self>, options: &std::fs::OpenOptions) -> Result<Store, StoreError> {
+        let old = (self.open)(options.open(&self.path)?)?;
         let copy = self.path.with_extension("new");
         match std::fs::remove_file(&copy) {
             Err(e) if e.kind() != ErrorKind::NotFound => return Err(e.into()),
@@ -146,8 +149,8 @@
         let new = (self.open)(file)?;
         copy_tables(&old, &new)?;
         std::fs::rename(&copy, &self.path)?;
-        let folder = self.path.parent().filter(|folder| !folder.as_os_str().is_empty());
-        File::open(folder.unwrap_or(Path::new(".")))?.sync_all()?;
+        let directory = self.path.parent().filter(|parent| !parent.as_os_str().is_empty());
+        File::open(directory.unwrap_or(Path::new(".")))?.sync_all()?;
         Ok(Store { database: new, file: self.clone() })
     }
 }
@@ -156,17 +159,17 @@
     let (read, write) = (old.begin_read()?, new.begin_write()?);
     {
         let mut entries = write.open_table(ENTRIES)?;
-        if let Some(table) = present(read.open_table(ENTRIES))? {
+        if let Some(table) = existing(read.open_table(ENTRIES))? {
             for row in table.iter()? {
                 let (index, bytes) = row?;
                 entries.insert(index.value(), bytes.value())?;
             }
         }
-        let mut rest = write.open_table(STATE)?;
-        if let Some(table) = present(read.open_table(STATE))? {
+        let mut state = write.open_table(STATE)?;
+        if let Some(table) = existing(read.open_table(STATE))? {
             for row in table.iter()? {
                 let (name, bytes) = row?;
-                rest.insert(name.value(), bytes.value())?;
+                state.insert(name.value(), bytes.value())?;
             }
         }
     }
@@ -174,8 +177,8 @@
     Ok(())
 }
 
-/// A new file has no tables yet.
-fn present<T>(table: Result<T, redb::TableError>) -> Result<Option<T>, StoreError> {
+/// The table if it exists: a new file has none.
+fn existing<T>(table: Result<T, redb::TableError>) -> Result<Option<T>, StoreError> {
     match table {
         Ok(table) => Ok(Some(table)),
         Err(redb::TableError::TableDoesNotExist(_)) => Ok(None),
@@ -183,46 +186,45 @@
     }
 }
 
-/// A store.
+/// An open store of one consensus server.
 pub struct Store {
     database: Database,
     file: Rc<StoreFile>,
 }
 
 impl Store {
-    /// Opens it, or makes an empty one; the file of a process that was killed is mended by the store itself.
+    /// Locks and opens the store, or creates an empty one. The database repairs the file of a process that was killed.
     ///
     /// # Errors
-    /// It can't be opened, or another process has it open.
+    /// It can't be opened, or another process has locked it.
     pub fn open(path: &Path) -> Result<Store, StoreError> {
         StoreFile::claim(path, open_database())?.open_or_create()
     }
 
-    /// Its file, which outlives it.
+    /// The store's file, which remains locked while the store is closed.
     pub fn file(&self) -> Rc<StoreFile> {
         self.file.clone()
     }
 
-    /// Whose it is: that of the first keeper that has used it. What one has promised is not another's to know.
+    /// Makes server `id` the owner if the store has none. A server must not act on the votes and the log of another.
     ///
     /// # Errors
-    /// It is another keeper's, or can't be written.
+    /// It belongs to another server, or can't be written.
     pub fn claim(&self, id: u64) -> Result<(), StoreError> {
         let write = self.database.begin_write()?;
         {
-            let mut rest = write.open_table(STATE)?;
-            let known = rest.get(KEEPER)?.map(|bytes| bytes.value().try_into().map(u64::from_le_bytes));
-            match known.transpose().map_err(|_| StoreError::Corrupt(KEEPER))? {
-                Some(known) if known != id => return Err(StoreError::WrongOwner(known, id)),
+            let mut state = write.open_table(STATE)?;
+            match read_u64(&state, OWNER)? {
+                Some(owner) if owner != id => return Err(StoreError::WrongOwner(owner, id)),
                 Some(_) => {}
-                None => drop(rest.insert(KEEPER, &id.to_le_bytes()[..])?),
+                None => drop(state.insert(OWNER, &id.to_le_bytes()[..])?),
             }
         }
         write.commit()?;
         Ok(())
     }
 
-    /// Whether it knows of an earlier start of this process.
+    /// Whether an earlier start of the server is recorded.
     ///
     /// # Errors
     /// It can't be read.
@@ -230,71 +232,69 @@
         Ok(self.database.begin_read()?.open_table(STATE)?.get(INCARNATION)?.is_some())
     }
 
-    /// One more start of this process: its incarnation, which rises with each. A disk that forgot begins from the clock,
-    /// so that it does not begin below what others have heard.
+    /// Records a start and returns its incarnation: the wall clock in milliseconds, or one above the previous incarnation if
+    /// that is greater. An empty store so starts above the incarnations that other members remember.
     ///
     /// # Errors
-    /// It can't be written.
+    /// It can't be read or written.
     pub fn incarnation(&self, unix_ms: u64) -> Result<u64, StoreError> {
         let write = self.database.begin_write()?;
         let incarnation = {
-            let mut rest = write.open_table(STATE)?;
-            let before =
-                rest.get(INCARNATION)?.map(|bytes| bytes.value().try_into().map(u64::from_le_bytes));
-            let before = before.transpose().map_err(|_| StoreError::Corrupt(INCARNATION))?;
-            let incarnation = before.map_or(unix_ms, |before| unix_ms.max(before + 1));
-            rest.insert(INCARNATION, &incarnation.to_le_bytes()[..])?;
+            let mut state = write.open_table(STATE)?;
+            let previous = read_u64(&state, INCARNATION)?;
+            let incarnation = previous.map_or(unix_ms, |previous| unix_ms.max(previous + 1));
+            state.insert(INCARNATION, &incarnation.to_le_bytes()[..])?;
             incarnation
         };
         write.commit()?;
         Ok(incarnation)
     }
 
-    /// What a keeper has kept; none where it never kept anything.
+    /// The state of the replica; `None` if none was ever written.
     ///
     /// # Errors
     /// It can't be read.
     pub fn load(&self) -> Result<Option<PersistedState>, StoreError> {
         let read = self.database.begin_read()?;
-        let rest = read.open_table(STATE)?;
-        let value = |name| Ok::<_, StoreError>(rest.get(name)?.map(|bytes| bytes.value().to_vec()));
-        let mut kept = PersistedState {
+        let state = read.open_table(STATE)?;
+        let value = |name| Ok::<_, StoreError>(state.get(name)?.map(|bytes| bytes.value().to_vec()));
+        let mut persisted = PersistedState {
             snapshot: value(SNAPSHOT)?,
             hard_state: value(HARD_STATE)?,
             ..PersistedState::default()
         };
         for entry in read.open_table(ENTRIES)?.iter()? {
             let (index, bytes) = entry?;
-            kept.entries.insert(index.value(), bytes.value().to_vec());
+            persisted.entries.insert(index.value(), bytes.value().to_vec());
         }
-        Ok((kept != PersistedState::default()).then_some(kept))
+        Ok((persisted != PersistedState::default()).then_some(persisted))
     }
 
-    /// Keeps what a keeper wants kept; synced once this returns.
+    /// Writes a batch in one commit, which is synced when this returns.
     ///
     /// # Errors
-    /// It is not kept: nothing of the same output may be said.
-    pub fn write(&self, persist: &WriteBatch) -> Result<(), StoreError> {
+    /// It is not durable: no message of the same output may be sent.
+    pub fn write(&self, batch: &WriteBatch) -> Result<(), StoreError> {
         let write = self.database.begin_write()?;
         {
             let mut entries = write.open_table(ENTRIES)?;
-            let mut rest = write.open_table(STATE)?;
-            if let Some(snapshot) = &persist.snapshot {
-                rest.insert(SNAPSHOT, &snapshot[..])?;
-                if persist.compact.is_none() {
+            let mut state = write.open_table(STATE)?;
+            if let Some(snapshot) = &batch.snapshot {
+                state.insert(SNAPSHOT, &snapshot[..])?;
+                if batch.compact.is_none() {
                     entries.retain(|_, _| false)?;
                 }
             }
-            if let Some((first, _)) = persist.entries.first() {
+            if let Some((first, _)) = batch.entries.first() {
                 entries.retain_in(*first.., |_, _| false)?;
             }
-            for (index, bytes) in &persist.entries {
+            for (index, bytes) in &batch.entries {
                 entries.insert(*index, &bytes[..])?;
             }
-            if let Some(hard_state) = &persist.hard_state {
-                rest.insert(HARD_STATE, &hard_state[..])?;
+            if let Some(hard_state) = &batch.hard_state {
+                state.insert(HARD_STATE, &hard_state[..])?;
             }
-            if let Some(compact) = persist.compact {
+            if let Some(compact) = batch.compact {
                 entries.retain_in(..compact, |_, _| false)?;
             }
         }
@@ -302,13 +302,21 @@
         Ok(())
     }
 
-    /// All of what a keeper begins with.
+    /// Writes the whole state that a replica starts from.
     ///
     /// # Errors
-    /// It is not kept.
-    pub fn initialize(&self, kept: &PersistedState) -> Result<(), StoreError> {
-        let entries = kept.entries.iter().map(|(index, bytes)| (*index, bytes.clone())).collect();
-        let (snapshot, hard_state) = (kept.snapshot.clone(), kept.hard_state.clone());
+    /// It is not durable.
+    pub fn initialize(&self, persisted: &PersistedState) -> Result<(), StoreError> {
+        let entries = persisted.entries.iter().map(|(index, bytes)| (*index, bytes.clone())).collect();
+        let (snapshot, hard_state) = (persisted.snapshot.clone(), persisted.hard_state.clone());
         self.write(&WriteBatch { snapshot, entries, hard_state, compact: None })
     }
 }
+
+fn read_u64(
+    table: &impl ReadableTable<&'static str, &'static [u8]>,
+    name: &'static str,
+) -> Result<Option<u64>, StoreError> {
+    let value = table.get(name)?.map(|bytes| bytes.value().try_into().map(u64::from_le_bytes));
+    value.transpose().map_err(|_| StoreError::Corrupt(name))
+}
--- a/crates/control-plane-node/src/traffic.rs
+++ b/crates/control-plane-node/src/traffic.rs
@@ -1,26 +1,26 @@
-//! What a process says to its fleet and hears from it, counted by kind, and what it lost on the way.
+//! Counters of a process's control-plane messages: sent and received by kind, and lost inside the process.
 
 use curlewhub_control_plane::protocol::Message;
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-/// Kinds of messages, by what they are for.
+/// Kinds of messages, by purpose.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MessageKind {
-    /// The versioned view: how far one is, requests, records, snapshots.
+    /// Replication of the view to subscribers: versions, fetches, records, snapshots; and configuration reports.
     View,
-    /// What calls have shown, and how often that is to be told.
+    /// Evidence, and the interval of its reports.
     Evidence,
     /// Packets of the membership protocol.
     Membership,
-    /// Consensus among the servers.
+    /// Raft messages between consensus servers.
     Consensus,
-    /// Probes and grants for places that return.
+    /// Probes and grants of zones that return.
     #[serde(rename = "places")]
     ZoneFailover,
-    /// Calls of operators, and what later builds add.
+    /// Calls of operators, and messages that later builds add.
     Other,
 }
 
@@ -45,39 +45,39 @@
     }
 }
 
-/// Why a message was lost inside this process. What the network loses is not in it.
+/// Why a message was lost inside this process; losses in the network are not counted.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Lost {
-    /// Too many messages waited for one peer.
+    /// The queue of the peer was full.
     PeerQueueFull,
-    /// Too many messages waited to be dealt with.
+    /// The queue of received messages was full.
     InboxFull,
-    /// Too many peers were dialled at once.
+    /// The limit of dialled peers was reached.
     DialLimit,
-    /// Its peer could not be connected to.
+    /// The peer could not be connected to.
     NotConnected,
-    /// A datagram was too large, or the system refused it.
+    /// A datagram was too large, or the system refused to send it.
     DatagramRefused,
-    /// A connection was closed unread, since too many were open.
+    /// An accepted connection was closed at once, as the limit of open ones was reached.
     ConnectionLimit,
 }
 
-/// Messages and bytes, frames and all.
+/// Messages and bytes, frame headers included.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Flow {
-    /// Messages that went out.
+    /// Messages sent.
     pub messages_out: u64,
-    /// Their bytes.
+    /// Bytes of the messages sent.
     pub bytes_out: u64,
-    /// Messages that came in and could be read.
+    /// Messages received and decoded.
     pub messages_in: u64,
-    /// Their bytes.
+    /// Bytes of the messages received and decoded.
     pub bytes_in: u64,
 }
 
 impl Flow {
-    /// Both together.
+    /// The sum of both.
     pub fn plus(self, other: Flow) -> Flow {
         Flow {
             messages_out: self.messages_out + other.messages_out,
@@ -88,19 +88,19 @@
     }
 }
 
-/// All that went out and came in.
+/// The counters of a process, since its start.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    /// Bytes that went out ...
+    /// Bytes sent.
     pub bytes_sent: Cell<u64>,
-    /// ... and came in, whether they could be read or not.
+    /// Bytes received, including those of messages that could not be decoded.
     pub bytes_received: Cell<u64>,
     flows: RefCell<BTreeMap<MessageKind, Flow>>,
-    count_lost: RefCell<BTreeMap<Lost, u64>>,
+    losses: RefCell<BTreeMap<Lost, u64>>,
 }
 
 impl Traffic {
-    /// A message went out, in so many bytes.
+    /// Counts a message that was sent, with its size.
     pub(crate) fn count_sent(&self, message: &Message, bytes: usize) {
         self.bytes_sent.set(self.bytes_sent.get() + bytes as u64);
         let mut flows = self.flows.borrow_mut();
@@ -109,12 +109,12 @@
         flow.bytes_out += bytes as u64;
     }
 
-    /// So many bytes came in.
+    /// Counts bytes that were received, before they are decoded.
     pub(crate) fn count_received_bytes(&self, bytes: usize) {
         self.bytes_received.set(self.bytes_received.get() + bytes as u64);
     }
 
-    /// They were this message.
+    /// Counts a message that was received and decoded, with its size.
     pub(crate) fn count_received(&self, message: &Message, bytes: usize) {
         let mut flows = self.flows.borrow_mut();
         let flow = flows.entry(MessageKind::of(message)).or_default();
@@ -122,22 +122,22 @@
         flow.bytes_in += bytes as u64;
     }
 
-    /// A message was lost here.
+    /// Counts a message that was lost.
     pub(crate) fn count_lost(&self, why: Lost) {
-        *self.count_lost.borrow_mut().entry(why).or_default() += 1;
+        *self.losses.borrow_mut().entry(why).or_default() += 1;
     }
 
-    /// By kind.
+    /// Messages and bytes by kind.
     pub fn by_kind(&self) -> BTreeMap<MessageKind, Flow> {
         self.flows.borrow().clone()
     }
 
-    /// What was lost, by why.
+    /// Lost messages by reason.
     pub fn losses(&self) -> BTreeMap<Lost, u64> {
-        self.count_lost.borrow().clone()
+        self.losses.borrow().clone()
     }
 
-    /// All kinds together.
+    /// The sum over all kinds.
     pub fn total(&self) -> Flow {
         self.flows.borrow().values().fold(Flow::default(), |sum, flow| sum.plus(*flow))
     }
