--- a/crates/control-plane-node/src/lib.rs
+++ b/crates/control-plane-node/src/lib.rs
@@ -1,10 +1,14 @@
-//! The fleet's view over sockets and disk: keepers that agree, and followers that hold what is decided.
+//! The I/O of the control plane: processes, sockets, storage and clocks of consensus servers and subscribers.
 //!
-//! What is decided and believed is worked out in `curlewhub-control-plane`, sans I/O; here are its sockets, its disk and its clock.
+//! Decisions are taken in the packages below, `curlewhub-control-plane`, `curlewhub-zone-failover` and
+//! `curlewhub-rollout`, which do no I/O: this package feeds them events and carries out their actions.
+#![warn(clippy::too_many_lines)]
 
 pub mod admin_client;
 pub mod config;
 mod consensus_server;
+mod error;
+mod process;
 mod rollout;
 mod storage;
 mod store;
@@ -14,7 +18,7 @@
 mod transport;
 mod view_file;
 
-pub use consensus_server::{keep_with, run_consensus_server};
+pub use consensus_server::{run_consensus_server, run_consensus_server_with};
 pub use store::{OpenDatabase, Store, StoreError, StoreFile, open_database};
 pub use subscriber::{SubscriberOptions, SubscriberStatus, ViewHandler, run_subscriber};
 pub use traffic::{Flow, Lost, MessageKind, Traffic};
--- a/crates/control-plane-node/src/storage.rs
+++ b/crates/control-plane-node/src/storage.rs
@@ -1,4 +1,4 @@
-//! Whether a consensus server's storage keeps what it promises, and when to try again after it has failed.
+//! A consensus server's storage, serving or failed, and when failed storage is tried again.
 
 use crate::store::{Store, StoreError, StoreFile};
 use curlewhub_control_plane::consensus::PersistedState;
@@ -6,26 +6,26 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Failed storage is opened again after this, longer each time ...
-const RETRY_FIRST: Duration = Duration::from_millis(250);
-/// ... up to this: a disk that has room again is used again within it.
-const RETRY_LIMIT: Duration = Duration::from_secs(5);
+/// Delay before the first retry after storage has failed; it doubles with each further failure.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Limit of the delay: a disk that has space again is in use again within it.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// How long to wait after so many attempts that failed.
-pub fn retry_after(attempts: u32) -> Duration {
-    RETRY_FIRST.saturating_mul(1 << attempts.min(16)).min(RETRY_LIMIT)
+/// The delay before the next retry, after this many failed attempts.
+pub fn retry_delay(attempts: u32) -> Duration {
+    MIN_RETRY_DELAY.saturating_mul(1 << attempts.min(16)).min(MAX_RETRY_DELAY)
 }
 
 /// A consensus server's storage.
 pub enum Storage {
-    /// What is written is durable.
+    /// Writes are durable once they return.
     Serving(Store),
-    /// A write has failed. The store refuses all further work until it is opened again, and until then the server neither votes
-    /// nor acknowledges anything.
+    /// A write has failed. The store refuses all work until it is reopened, and until then the server neither votes nor
+    /// acknowledges anything.
     Failed(Failure),
 }
 
-/// Storage that has failed, closed.
+/// Failed storage. The store is closed; its file remains claimed by this process.
 pub struct Failure {
     file: Rc<StoreFile>,
     since: Instant,
@@ -33,66 +33,65 @@
     retry_at: Instant,
 }
 
-/// What an attempt to open failed storage has come to.
+/// The result of an attempt to reopen failed storage.
 pub enum Reopened {
-    /// All that is on disk, after so long.
+    /// It serves again: all that is durable, and how long storage had failed.
     Serving(PersistedState, Duration),
     /// It still fails.
     Failing(StoreError),
 }
 
 impl Storage {
-    /// Whether what is written is durable.
+    /// Whether writes are durable.
     pub fn is_serving(&self) -> bool {
         matches!(self, Storage::Serving(_))
     }
 
-    /// Writes and syncs what these outputs want kept: only then may anything of them go out.
+    /// Writes and syncs all that these outputs need to be durable before their messages may be sent.
     ///
     /// # Errors
-    /// Nothing of what they say of the consensus may go out.
+    /// It is not durable: no consensus message of these outputs may be sent.
     pub fn write(&self, outputs: &[Output]) -> Result<(), StoreError> {
-        let persists = outputs.iter().map(|output| &output.replica.writes);
+        let mut batches =
+            outputs.iter().map(|output| &output.replica.writes).filter(|batch| !batch.is_empty());
         match self {
             Storage::Serving(store) => {
-                persists
-                    .filter(|persist| !persist.is_empty())
-                    .try_for_each(|persist| store.write(persist))?;
-                // For the next start: it must count itself above this one.
-                let outlived = outputs.iter().filter_map(|output| output.raised_incarnation);
-                outlived.max().map_or(Ok(()), |incarnation| store.incarnation(incarnation).map(drop))
+                batches.try_for_each(|batch| store.write(batch))?;
+                // The next start must choose an incarnation above the one that this process has raised itself to.
+                let raised = outputs.iter().filter_map(|output| output.raised_incarnation);
+                raised.max().map_or(Ok(()), |incarnation| store.incarnation(incarnation).map(drop))
             }
-            Storage::Failed(_) if persists.into_iter().all(|persist| persist.is_empty()) => Ok(()),
+            Storage::Failed(_) if batches.next().is_none() => Ok(()),
             Storage::Failed(_) => Err(StoreError::Store(redb::Error::PreviousIo)),
         }
     }
 
-    /// A write has failed: the store is closed.
+    /// Closes the store after a failed write.
     pub fn fail(&mut self, now: Instant) {
         if let Storage::Serving(store) = self {
-            let (file, retry_at) = (store.file(), now + retry_after(0));
+            let (file, retry_at) = (store.file(), now + retry_delay(0));
             *self = Storage::Failed(Failure { file, since: now, attempts: 0, retry_at });
         }
     }
 
-    /// Opens failed storage again, if it is time to; none where it is not.
+    /// Tries to reopen failed storage; `None` if it serves, or the next attempt is not due yet.
     ///
     /// # Errors
-    /// It can't be served from without somebody's help.
+    /// The store can't be used without an operator's help.
     pub fn reopen(&mut self, id: u64, now: Instant) -> Result<Option<Reopened>, StoreError> {
         let Storage::Failed(failure) = self else { return Ok(None) };
         if now < failure.retry_at {
             return Ok(None);
         }
-        match reopened(&failure.file, id) {
-            Ok((store, kept)) => {
+        match reopen_store(&failure.file, id) {
+            Ok((store, persisted)) => {
                 let failed_for = now.saturating_duration_since(failure.since);
                 *self = Storage::Serving(store);
-                Ok(Some(Reopened::Serving(kept, failed_for)))
+                Ok(Some(Reopened::Serving(persisted, failed_for)))
             }
             Err(problem) if problem.is_transient() => {
                 failure.attempts = failure.attempts.saturating_add(1);
-                failure.retry_at = now + retry_after(failure.attempts);
+                failure.retry_at = now + retry_delay(failure.attempts);
                 Ok(Some(Reopened::Failing(problem)))
             }
             Err(problem) => Err(problem),
@@ -100,9 +99,9 @@
     }
 }
 
-fn reopened(file: &Rc<StoreFile>, id: u64) -> Result<(Store, PersistedState), StoreError> {
+fn reopen_store(file: &Rc<StoreFile>, id: u64) -> Result<(Store, PersistedState), StoreError> {
     let store = file.reopen()?;
     store.claim(id)?;
-    let kept = store.load()?.ok_or(StoreError::Corrupt("what it kept"))?;
-    Ok((store, kept))
+    let persisted = store.load()?.ok_or(StoreError::Corrupt("what it kept"))?;
+    Ok((store, persisted))
 }
--- a/crates/control-plane-node/src/view_file.rs
+++ b/crates/control-plane-node/src/view_file.rs
@@ -1,155 +1,158 @@
-//! The view that a follower keeps: one file, replaced as a whole, that a process beside it reads and replaces too.
+//! The file of a subscriber's view and incarnation, which is replaced as a whole.
 //!
-//! A sidecar and its successor run side by side with one folder. A store that one of them holds shut would have the
-//! successor begin with nothing; so the file is whole at every moment, and only ever replaced by a higher version.
+//! A sidecar and its successor run at the same time on one state directory, and a database can be opened by one process
+//! alone. So the file is complete at every moment, any process may read it, and it is only replaced by a higher version.
 
 use crate::transient::retry_interrupted;
 use curlewhub_control_plane::view::View;
 use serde::{Deserialize, Serialize};
 use std::fs::File;
-use std::io::{self, Write};
+use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What the file holds.
+const FILE_NAME: &str = "fleet-view.bin";
+const LOCK_FILE_NAME: &str = "fleet-view.lock";
+
+/// The content of the file.
 #[derive(Debug, Default, Deserialize, Serialize)]
 struct Content {
     incarnation: u64,
     view: View,
 }
 
-/// The file.
+/// The view file of a state directory.
 #[derive(Clone, Debug)]
 pub struct ViewFile {
-    folder: PathBuf,
-    own: Arc<Mutex<Own>>,
+    directory: PathBuf,
+    process: Arc<Mutex<ProcessState>>,
 }
 
-/// What this process knows of the file beside what it reads.
+/// What this process knows beside the content of the file.
 #[derive(Debug, Default)]
-struct Own {
-    /// By which number this process counts its start, whether that is written yet or not.
+struct ProcessState {
+    /// The incarnation of this process, whether it is written yet or not.
     incarnation: u64,
-    /// Its last write, and the sync of its folder, succeeded. Until then what it reads may be in the kernel's memory alone, and
-    /// is written anew.
-    durable: bool,
+    /// Whether this process's last write, and the sync of the directory, succeeded. Until then the content that is read may
+    /// exist in the page cache alone, and is written again.
+    is_durable: bool,
 }
 
 impl ViewFile {
-    /// In this folder, which is made once something is to be kept: one that can't be made now may be later.
-    pub fn new(folder: &Path) -> ViewFile {
-        ViewFile { folder: folder.to_owned(), own: Arc::default() }
+    /// The file in this directory, which is created at the first write.
+    pub fn new(directory: &Path) -> ViewFile {
+        ViewFile { directory: directory.to_owned(), process: Arc::default() }
     }
 
     fn path(&self) -> PathBuf {
-        self.folder.join("fleet-view.bin")
+        self.directory.join(FILE_NAME)
     }
 
-    /// Held while it is read and replaced, by whichever process; ends with the process.
+    /// Excludes other processes until the returned file is dropped, or the process ends.
     fn lock(&self) -> io::Result<File> {
-        std::fs::create_dir_all(&self.folder)?;
-        let file = File::options().create(true).append(true).open(self.folder.join("fleet-view.lock"))?;
+        std::fs::create_dir_all(&self.directory)?;
+        let file = File::options().create(true).append(true).open(self.directory.join(LOCK_FILE_NAME))?;
         retry_interrupted(|| file.lock())?;
         Ok(file)
     }
 
-    fn content(&self) -> io::Result<Content> {
+    /// The content of the file; empty if there is none. The hash chain of the view serves as its checksum.
+    fn read(&self) -> io::Result<Content> {
         let bytes = match std::fs::read(self.path()) {
             Ok(bytes) => bytes,
-            Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(Content::default()),
+            Err(e) if e.kind() == ErrorKind::NotFound => return Ok(Content::default()),
             Err(e) => return Err(e),
         };
-        let spoilt = |what: &str| io::Error::new(io::ErrorKind::InvalidData, what.to_owned());
-        let (content, rest): (Content, _) =
-            postcard::take_from_bytes(&bytes).map_err(|_| spoilt("it is no view"))?;
-        // The view's own chain of hashes is its checksum.
+        let (content, rest): (Content, _) = postcard::take_from_bytes(&bytes)
+            .map_err(|_| io::Error::new(ErrorKind::InvalidData, "it is no view"))?;
         if rest.is_empty() && content.view.is_consistent() {
             Ok(content)
         } else {
-            Err(spoilt("it does not hold together"))
+            Err(io::Error::new(ErrorKind::InvalidData, "it does not hold together"))
+        }
+    }
+
+    /// The content that a write replaces: a corrupt file counts as empty, one that can't be read at the moment does not.
+    fn read_for_replacement(&self) -> io::Result<Content> {
+        match self.read() {
+            Err(e) if e.kind() == ErrorKind::InvalidData => Ok(Content::default()),
+            content => content,
         }
     }
 
+    fn write(&self, content: &Content) -> io::Result<()> {
+        self.process().is_durable = false;
+        self.replace(content)?;
+        self.process().is_durable = true;
+        Ok(())
+    }
+
     fn replace(&self, content: &Content) -> io::Result<()> {
-        let bytes = postcard::to_allocvec(content).unwrap_or_default(); // plain data: it never fails
-        let mut file = tempfile::NamedTempFile::new_in(&self.folder)?;
+        let bytes = postcard::to_allocvec(content).unwrap_or_default(); // can't fail: plain data
+        let mut file = tempfile::NamedTempFile::new_in(&self.directory)?;
         file.write_all(&bytes)?;
         file.as_file().sync_all()?;
         file.persist(self.path()).map_err(|e| e.error)?;
-        File::open(&self.folder)?.sync_all()
+        File::open(&self.directory)?.sync_all()
+    }
+
+    fn process(&self) -> MutexGuard<'_, ProcessState> {
+        self.process.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The view that was kept.
+    /// The stored view; empty if there is none.
     ///
     /// # Errors
-    /// The file can't be read, or does not hold together.
+    /// The file can't be read, or is corrupt.
     pub fn view(&self) -> io::Result<View> {
-        self.content().map(|content| content.view)
+        self.read().map(|content| content.view)
     }
 
-    /// Whether the file knows of an earlier start.
+    /// Whether an earlier start is recorded.
     ///
     /// # Errors
-    /// The file can't be read, or does not hold together.
+    /// The file can't be read, or is corrupt.
     pub fn has_started(&self) -> io::Result<bool> {
-        self.content().map(|content| content.incarnation > 0)
+        self.read().map(|content| content.incarnation > 0)
     }
 
-    /// What is to be written over: a file that does not hold together is as none, one that can't be read just now is not.
-    fn content_to_replace(&self) -> io::Result<Content> {
-        match self.content() {
-            Err(e) if e.kind() == io::ErrorKind::InvalidData => Ok(Content::default()),
-            content => content,
-        }
-    }
-
-    /// One more start: its incarnation, above that of every start before. A folder that forgot begins from the clock.
+    /// Records a start and returns its incarnation: the wall clock in milliseconds, or one above the incarnation in the file
+    /// if that is greater.
     ///
     /// # Errors
     /// It can't be written.
     pub fn incarnation(&self, unix_ms: u64) -> io::Result<u64> {
-        self.counts_by(unix_ms);
+        self.raise_incarnation(unix_ms);
         let _lock = self.lock()?;
-        let before = self.content_to_replace()?;
-        let incarnation = unix_ms.max(before.incarnation + 1);
-        self.counts_by(incarnation);
-        self.write(&Content { incarnation, ..before })?;
+        let previous = self.read_for_replacement()?;
+        let incarnation = unix_ms.max(previous.incarnation + 1);
+        self.raise_incarnation(incarnation);
+        self.write(&Content { incarnation, ..previous })?;
         Ok(incarnation)
     }
 
-    /// This process counts its start by this number, which is written with the next view at the latest.
-    pub fn counts_by(&self, incarnation: u64) {
-        let mut own = self.own();
-        own.incarnation = own.incarnation.max(incarnation);
-    }
-
-    fn own(&self) -> std::sync::MutexGuard<'_, Own> {
-        self.own.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    fn write(&self, content: &Content) -> io::Result<()> {
-        self.own().durable = false;
-        self.replace(content)?;
-        self.own().durable = true;
-        Ok(())
+    /// Raises the incarnation of this process to at least this; it is written with the next view at the latest.
+    pub fn raise_incarnation(&self, incarnation: u64) {
+        let mut process = self.process();
+        process.incarnation = process.incarnation.max(incarnation);
     }
 
-    /// Keeps a view, unless what is kept is as new; synced once this returns.
+    /// Stores a view, unless the file has the same version or a higher one; durable once this returns.
     ///
     /// # Errors
-    /// It is not kept.
+    /// It can't be written, and may not be durable.
     pub fn store(&self, view: &View) -> io::Result<()> {
         let _lock = self.lock()?;
-        let before = self.content_to_replace()?;
-        let (incarnation, durable) = {
-            let own = self.own();
-            (own.incarnation.max(before.incarnation), own.durable)
+        let previous = self.read_for_replacement()?;
+        let (incarnation, is_durable) = {
+            let process = self.process();
+            (process.incarnation.max(previous.incarnation), process.is_durable)
         };
-        let is_as_new = before.view.version() >= view.version();
-        if is_as_new && durable && before.incarnation == incarnation {
+        let is_current = previous.view.version() >= view.version();
+        if is_current && is_durable && previous.incarnation == incarnation {
             return Ok(());
         }
-        let view = if is_as_new { before.view } else { view.clone() };
+        let view = if is_current { previous.view } else { view.clone() };
         self.write(&Content { incarnation, view })
     }
 }
--- a/crates/control-plane-node/tests/storage.rs
+++ b/crates/control-plane-node/tests/storage.rs
@@ -5,7 +5,7 @@
 use curlewhub_control_plane::view::View;
 use curlewhub_control_plane_node::config::FleetConfig;
 use curlewhub_control_plane_node::{
-    OpenDatabase, StoreError, StoreFile, ViewFile, admin_client, keep_with,
+    OpenDatabase, StoreError, StoreFile, ViewFile, admin_client, run_consensus_server_with,
 };
 use redb::backends::FileBackend;
 use redb::{BackendError, Builder, StorageBackend};
@@ -186,7 +186,7 @@
             let (config, ended) = (self.configs[n].clone(), self.ended.clone());
             let open = failing(&self.faults[n]);
             spawn_local(async move {
-                let end = keep_with(&config, true, open, std::future::pending()).await;
+                let end = run_consensus_server_with(&config, true, open, std::future::pending()).await;
                 ended.borrow_mut().push((n, end));
             });
         }
--- a/crates/control-plane-node/tests/store.rs
+++ b/crates/control-plane-node/tests/store.rs
@@ -224,6 +224,6 @@
         std::fs::write(&file, text).unwrap();
         let mut config = config.clone();
         config.key.file = file;
-        assert!(keys(&config).unwrap_err().contains(wanted));
+        assert!(keys(&config).unwrap_err().to_string().contains(wanted));
     }
 }
