--- a/crates/control-plane-node/src/consensus_server.rs
+++ b/crates/control-plane-node/src/consensus_server.rs
@@ -147,7 +147,7 @@
         }
         for Transition { zone, from, to, why } in std::mem::take(&mut self.server.transitions) {
             // Text and field names of this event are read by the rig.
-            info!(hall = zone, ?from, ?to, why, "fleet: a hall is to move");
+            info!(zone, ?from, ?to, why, "zone transition proposed");
         }
         for output in outputs {
             self.send(output);
--- a/crates/control-plane/tests/stored_forms.rs
+++ b/crates/control-plane/tests/stored_forms.rs
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn messages_of_the_earlier_build_are_read_as_what_they_said() {
+fn messages_of_the_earlier_build_keep_their_meaning() {
     let keys = MacKeys::single(3, KEY).with(250, OTHER_KEY);
     let known: BTreeMap<&str, Message> = messages().into_iter().collect();
     let values = values("messages.txt");
@@ -295,7 +295,7 @@
     for (n, (_, bytes)) in values("membership.txt").iter().enumerate().filter(|(_, (to, _))| to == "1-7001")
     {
         let actions = server.handle_packet(Duration::from_millis(n as u64), &unhex(bytes)).unwrap();
-        // The packets come at other times than they were sent at, so that this server is also told that it was missed.
+        // The packets come at other times than they were sent at, so that this server also learns that it was missed.
         seen.extend(
             actions.into_iter().filter(|action| matches!(action, Action::Joined(_) | Action::Left(_))),
         );
