--- a/crates/curlewhub/src/ctl.rs
+++ b/crates/curlewhub/src/ctl.rs
@@ -1,122 +1,149 @@
-//! Calls to a running sidecar: one line a connection, as operators' own tools send it.
+//! `curlewhub ctl`: calls to a running sidecar by the operators' line protocol, one line a connection.
 
-use crate::cli::{Call, Ctl, Exit};
+use crate::cli::{CtlArgs, OperatorCall};
+use crate::output::{Exit, fail};
 use serde_json::{Map, Value, json};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
-/// A sidecar answers within 1 s; whoever has not after this is dead, hung or no curlewhub.
-const PATIENCE: Duration = Duration::from_millis(1800);
-/// No answer is longer, in bytes: a class takes three lines of figures.
-const ANSWER_MOST: usize = 1 << 20;
+/// Deadline of a call. A sidecar answers within 1 s, so one that has not by now is dead, hung or no curlewhub.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1800);
+/// Longest answer, in bytes: each request class takes three lines of metrics.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// Makes the call and prints what comes of it.
-pub fn run(ctl: &Ctl) -> Exit {
-    let answer = ask(ctl.at, &line(&ctl.call));
-    let (exit, text, value) = match &answer {
-        Ok(answer) => read(answer),
-        Err(problem) => {
-            let problem = format!("{}: {problem}", ctl.at);
-            (Exit::Failed, problem.clone(), json!({"ok": false, "problem": problem}))
+/// Why a call failed.
+#[derive(Debug, Error)]
+enum CallError {
+    /// An id with a line break would be read as two calls.
+    #[error("an id is one line")]
+    MultilineId,
+    #[error("nobody listens there")]
+    Refused,
+    #[error("no answer within {} ms", CALL_TIMEOUT.as_millis())]
+    TimedOut,
+    #[error("it closed without an answer")]
+    ClosedEarly,
+    #[error("too long an answer")]
+    TooLong,
+    #[error(transparent)]
+    Io(io::Error),
+}
+
+impl From<io::Error> for CallError {
+    fn from(error: io::Error) -> CallError {
+        match error.kind() {
+            // Linux reports an expired read or write timeout of a socket as WouldBlock.
+            io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut => CallError::TimedOut,
+            _ => CallError::Io(error),
         }
-    };
-    let text = if ctl.json { value.to_string() } else { text };
-    match exit {
-        Exit::Failed if !ctl.json => eprintln!("curlewhub: {}", text.trim_end()),
-        _ => {
-            let _ = writeln!(io::stdout(), "{}", text.trim_end()); // a reader that has gone is no failure
+    }
+}
+
+/// An answer for people and for programs.
+struct Report {
+    exit: Exit,
+    text: String,
+    json: Value,
+}
+
+impl Report {
+    fn done(text: &str, json: Value) -> Report {
+        Report { exit: Exit::Done, text: text.to_owned(), json }
+    }
+
+    fn failed(text: String, problem: &str) -> Report {
+        Report { exit: Exit::Failed, text, json: json!({"ok": false, "problem": problem}) }
+    }
+}
+
+/// Makes the call and prints its answer.
+pub fn run(ctl: &CtlArgs) -> Exit {
+    let report = match call(ctl.at, &request_line(&ctl.call)) {
+        Ok(answer) => parse_answer(&answer),
+        Err(error) => {
+            let problem = format!("{}: {error}", ctl.at);
+            Report::failed(problem.clone(), &problem)
         }
+    };
+    let text = if ctl.json { report.json.to_string() } else { report.text };
+    if report.exit == Exit::Failed && !ctl.json {
+        return fail(text.trim_end());
     }
-    exit
+    crate::output::print(&format!("{}\n", text.trim_end()));
+    report.exit
 }
 
-fn line(call: &Call) -> String {
+fn request_line(call: &OperatorCall) -> String {
     match call {
-        Call::Ping => "PING\n".to_owned(),
-        Call::Info => "INFO\n".to_owned(),
-        Call::Detach { id } => format!("DETACH {id}\n"),
-        Call::Attach { id } => format!("ATTACH {id}\n"),
-        Call::Drain => "LAMEDUCK\n".to_owned(),
-        Call::Undrain => "REJOIN\n".to_owned(),
+        OperatorCall::Ping => "PING\n".to_owned(),
+        OperatorCall::Info => "INFO\n".to_owned(),
+        OperatorCall::Detach { id } => format!("DETACH {id}\n"),
+        OperatorCall::Attach { id } => format!("ATTACH {id}\n"),
+        OperatorCall::Drain => "LAMEDUCK\n".to_owned(),
+        OperatorCall::Undrain => "REJOIN\n".to_owned(),
     }
 }
 
-/// What was answered, for people and for programs.
-fn read(answer: &str) -> (Exit, String, Value) {
-    if let Some(figures) = answer.strip_suffix("END\n") {
-        let mut values = Map::new();
-        for line in figures.lines() {
-            let Some((name, rest)) = line.split_once(':') else { continue };
-            let number = rest.split('|').next().and_then(|number| number.parse::<u64>().ok());
-            values.insert(name.to_owned(), number.map_or(Value::Null, Value::from));
-        }
-        return (Exit::Done, figures.to_owned(), json!({"ok": true, "figures": values}));
+fn parse_answer(answer: &str) -> Report {
+    if let Some(metrics) = answer.strip_suffix("END\n") {
+        return Report::done(metrics, json!({"ok": true, "figures": parse_metrics(metrics)}));
     }
-    match answer.split_once([' ', '\n']).map_or((answer, ""), |(word, why)| (word, why.trim())) {
-        ("YES", _) => (Exit::Done, "yes".to_owned(), json!({"ok": true})),
-        ("NO", why) => (Exit::Failed, format!("no: {why}"), json!({"ok": false, "problem": why})),
+    match answer.split_once([' ', '\n']).map_or((answer, ""), |(word, reason)| (word, reason.trim())) {
+        ("YES", _) => Report::done("yes", json!({"ok": true})),
+        ("NO", reason) => Report::failed(format!("no: {reason}"), reason),
         _ => {
             let problem = "what came back is no answer: is this an operators' address?";
-            (Exit::Failed, problem.to_owned(), json!({"ok": false, "problem": problem}))
+            Report::failed(problem.to_owned(), problem)
         }
     }
 }
 
-/// Sends a line and reads the whole answer, all within the patience.
-fn ask(at: SocketAddr, line: &str) -> Result<String, String> {
-    let until = Instant::now() + PATIENCE;
-    let left = || {
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() { Err(silent()) } else { Ok(left) }
-    };
+/// Metrics by name from lines of `name:value|kind`; a value that is no number becomes null.
+fn parse_metrics(lines: &str) -> Map<String, Value> {
+    let metrics = lines.lines().filter_map(|line| {
+        let (name, rest) = line.split_once(':')?;
+        let number = rest.split('|').next().and_then(|number| number.parse::<u64>().ok());
+        Some((name.to_owned(), number.map_or(Value::Null, Value::from)))
+    });
+    metrics.collect()
+}
+
+/// Sends a line and reads the whole answer, all within one deadline.
+fn call(address: SocketAddr, line: &str) -> Result<String, CallError> {
+    let deadline = Instant::now() + CALL_TIMEOUT;
     if line.trim_end().contains(['\n', '\r']) {
-        return Err("an id is one line".to_owned());
+        return Err(CallError::MultilineId);
     }
-    let mut stream = TcpStream::connect_timeout(&at, left()?).map_err(|e| match e.kind() {
-        io::ErrorKind::ConnectionRefused => "nobody listens there".to_owned(),
-        io::ErrorKind::TimedOut => silent(),
-        _ => e.to_string(),
-    })?;
-    let timed = |e: io::Error| match e.kind() {
-        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut => silent(),
-        _ => e.to_string(),
-    };
-    stream.set_write_timeout(Some(left()?)).map_err(|e| e.to_string())?;
-    stream.write_all(line.as_bytes()).map_err(timed)?;
-    let (mut answer, mut piece) = (Vec::new(), [0; 4096]);
+    let mut stream =
+        TcpStream::connect_timeout(&address, remaining(deadline)?).map_err(|error| match error.kind() {
+            io::ErrorKind::ConnectionRefused => CallError::Refused,
+            _ => error.into(),
+        })?;
+    stream.set_write_timeout(Some(remaining(deadline)?))?;
+    stream.write_all(line.as_bytes())?;
+    read_answer(&mut stream, deadline)
+}
+
+fn read_answer(stream: &mut TcpStream, deadline: Instant) -> Result<String, CallError> {
+    let mut answer = Vec::new();
+    let mut chunk = [0; 4096];
     loop {
-        stream.set_read_timeout(Some(left()?)).map_err(|e| e.to_string())?;
-        match stream.read(&mut piece).map_err(timed)? {
-            0 if answer.is_empty() => return Err("it closed without an answer".to_owned()),
+        stream.set_read_timeout(Some(remaining(deadline)?))?;
+        match stream.read(&mut chunk)? {
+            0 if answer.is_empty() => return Err(CallError::ClosedEarly),
             0 => return Ok(String::from_utf8_lossy(&answer).into_owned()),
-            count => answer.extend_from_slice(&piece[..count]),
+            count => answer.extend_from_slice(&chunk[..count]),
         }
-        if answer.len() > ANSWER_MOST {
-            return Err("too long an answer".to_owned());
+        if answer.len() > MAX_ANSWER_BYTES {
+            return Err(CallError::TooLong);
         }
     }
 }
 
-fn silent() -> String {
-    format!("no answer within {} ms", PATIENCE.as_millis())
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn answers_are_told_apart() {
-        assert_eq!(read("YES\n").0, Exit::Done);
-        let (exit, text, value) = read("NO no such endpoint\n");
-        assert_eq!((exit, &text[..]), (Exit::Failed, "no: no such endpoint"));
-        assert_eq!(value, json!({"ok": false, "problem": "no such endpoint"}));
-        let (exit, _, value) = read("router.success.a:812|c\nrouter.inflight:14|g\nEND\n");
-        assert_eq!(exit, Exit::Done);
-        assert_eq!(value["figures"], json!({"router.success.a": 812, "router.inflight": 14}));
-        for odd in ["", "HTTP/1.1 400 Bad Request\r\n\r\n", "YESTERDAY\n", "router.success.a:8"] {
-            assert_eq!(read(odd).0, Exit::Failed, "{odd}");
-        }
-    }
+/// The time until the deadline; a socket's timeout must not be zero.
+fn remaining(deadline: Instant) -> Result<Duration, CallError> {
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    if remaining.is_zero() { Err(CallError::TimedOut) } else { Ok(remaining) }
 }
--- /dev/null
+++ b/crates/curlewhub/src/fleet/process.rs
@@ -0,0 +1,96 @@
+//! Processes of the control plane: a consensus server, and a subscriber without a sidecar.
+
+use super::session::block_on;
+use crate::cli::fleet::ProcessArgs;
+use crate::logs::Logs;
+use crate::output::{Exit, fail, reject_usage};
+use curlewhub_config::{Log, LogFormat};
+use curlewhub_control_plane::applied::AppliedRecords;
+use curlewhub_control_plane::record::Hash;
+use curlewhub_control_plane_node::config::FleetConfig;
+use curlewhub_control_plane_node::{
+    SubscriberOptions, SubscriberStatus, ViewHandler, run_consensus_server, run_subscriber,
+};
+use std::io;
+use std::pin::Pin;
+use thiserror::Error;
+use tokio::signal::unix::{SignalKind, signal};
+use tracing::info;
+
+/// Completes when the process is to end.
+type Shutdown = Pin<Box<dyn Future<Output = ()>>>;
+
+/// Why a process ended before it was asked to.
+#[derive(Debug, Error)]
+enum ProcessError {
+    #[error(transparent)]
+    Runtime(#[from] io::Error),
+    #[error("{signal}: {source}")]
+    Signal { signal: &'static str, source: io::Error },
+    #[error("{0}")]
+    Ended(String),
+}
+
+/// Runs a consensus server until SIGTERM or SIGINT; `bootstrap` allows an empty state directory.
+pub fn consensus_server(process: &ProcessArgs, bootstrap: bool) -> Exit {
+    run(process, async |config, shutdown| {
+        run_consensus_server(config, bootstrap, shutdown).await.map_err(ProcessError::Ended)
+    })
+}
+
+/// Runs a subscriber that logs each version it applies, until SIGTERM or SIGINT.
+pub fn subscriber(process: &ProcessArgs) -> Exit {
+    run(process, async |config, shutdown| {
+        let (options, mut handler) = (SubscriberOptions::default(), AppliedViewLog);
+        let subscribed = run_subscriber(config, options, &mut handler, shutdown);
+        subscribed.await.map_err(ProcessError::Ended)
+    })
+}
+
+/// Logs each version of the fleet view that is applied.
+pub(crate) struct AppliedViewLog;
+
+impl ViewHandler for AppliedViewLog {
+    fn view_applied(&mut self, applied: &AppliedRecords, hash: Hash) {
+        let (version, records) = (applied.version().0, applied.records().count());
+        info!(version, ?hash, records, "fleet: acts on");
+    }
+
+    fn status_changed(&mut self, _: SubscriberStatus) {}
+}
+
+/// Reads the file, starts the log and runs a process until it ends or is signalled.
+fn run(
+    process: &ProcessArgs,
+    body: impl AsyncFnOnce(&FleetConfig, Shutdown) -> Result<(), ProcessError>,
+) -> Exit {
+    let config = match FleetConfig::read(&process.config) {
+        Ok(config) => config,
+        Err(problem) => return reject_usage(problem),
+    };
+    let format = if process.log_json { LogFormat::Json } else { LogFormat::Text };
+    let log = Log { format, level: process.log_level.clone(), ..Log::default() };
+    let logs = match Logs::start(&log) {
+        Ok(logs) => logs,
+        Err(error) => return reject_usage(format_args!("--log-level: {error}")),
+    };
+    let ended = block_on(async { body(&config, shutdown_signal()?).await });
+    drop(logs); // writes queued lines before the error below
+    match ended.map_err(ProcessError::Runtime).and_then(|ended| ended) {
+        Ok(()) => Exit::Done,
+        Err(error) => fail(error),
+    }
+}
+
+/// Completes at the first SIGTERM or SIGINT after this call.
+fn shutdown_signal() -> Result<Shutdown, ProcessError> {
+    let listen = |kind, name| signal(kind).map_err(|source| ProcessError::Signal { signal: name, source });
+    let mut terminate = listen(SignalKind::terminate(), "SIGTERM")?;
+    let mut interrupt = listen(SignalKind::interrupt(), "SIGINT")?;
+    Ok(Box::pin(async move {
+        tokio::select! {
+            _ = terminate.recv() => {}
+            _ = interrupt.recv() => {}
+        }
+    }))
+}
--- /dev/null
+++ b/crates/curlewhub/src/fleet/session.rs
@@ -0,0 +1,63 @@
+//! What each command of `curlewhub fleet` needs: the fleet's file, a runtime, and its errors.
+
+use crate::cli::fleet::FleetFile;
+use crate::output::{Exit, fail, reject_usage};
+use curlewhub_control_plane_node::config::FleetConfig;
+use std::io;
+use thiserror::Error;
+use tokio::task::LocalSet;
+
+/// Why a command of `curlewhub fleet` failed.
+#[derive(Debug, Error)]
+pub enum FleetError {
+    /// The consensus servers did not do what they were asked.
+    #[error("{0}")]
+    Call(String),
+    /// No consensus server answered.
+    #[error("no consensus server is reached")]
+    Unreachable,
+    /// The fleet has no zone or region of this name.
+    #[error("`{name}` is no zone or region of this fleet; known: {}", known.join(", "))]
+    UnknownZone {
+        /// The name.
+        name: String,
+        /// The names of all zones and regions.
+        known: Vec<String>,
+    },
+    /// A proposed configuration is the one in force.
+    #[error("set: it is so already; allowed: --set or --unset of what differs")]
+    Unchanged,
+    /// A signal handler could not be installed.
+    #[error("{signal}: {source}")]
+    Signal {
+        /// The signal's name.
+        signal: &'static str,
+        /// What the system reported.
+        source: io::Error,
+    },
+}
+
+/// Reads the fleet's file and runs a command with it.
+pub fn with_fleet(
+    file: &FleetFile,
+    command: impl AsyncFnOnce(&FleetConfig) -> Result<Exit, FleetError>,
+) -> Exit {
+    let config = match FleetConfig::read(&file.config) {
+        Ok(config) => config,
+        Err(problem) => return reject_usage(problem),
+    };
+    match block_on(command(&config)) {
+        Ok(Ok(exit)) => exit,
+        Ok(Err(error)) => fail(error),
+        Err(error) => fail(error),
+    }
+}
+
+/// Runs a task on a runtime of its own, on this thread.
+///
+/// # Errors
+/// The runtime could not be built.
+pub fn block_on<T>(task: impl Future<Output = T>) -> io::Result<T> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    Ok(LocalSet::new().block_on(&runtime, task))
+}
--- a/crates/curlewhub/src/main.rs
+++ b/crates/curlewhub/src/main.rs
@@ -1,4 +1,4 @@
-//! `curlewhub`: the sidecar.
+//! The `curlewhub` executable.
 
 fn main() -> std::process::ExitCode {
     curlewhub::program(std::env::args_os())
--- a/crates/curlewhub/src/reload.rs
+++ b/crates/curlewhub/src/reload.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration while a sidecar serves: by SIGHUP out of its file, and by its fleet.
+//! Configuration changes while a sidecar serves: from its file at SIGHUP, and from the fleet view.
 
 use crate::logs::{LogControl, levels};
 use curlewhub_config::{Change, Loaded};
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tracing::{error, info, warn};
 
-/// Holds the configuration in effect, and hands what changes to the parts.
+/// Owns the configuration in force and passes changes on to discovery and the log.
 pub struct Reloader {
     loaded: RefCell<Loaded>,
     figures: Rc<Figures>,
@@ -19,7 +19,7 @@
 }
 
 impl Reloader {
-    /// One that begins with what the sidecar was started with.
+    /// Starts with the configuration that the sidecar was started with.
     pub fn new(
         loaded: Loaded,
         figures: Rc<Figures>,
@@ -29,13 +29,13 @@
         Rc::new(Reloader { loaded: RefCell::new(loaded), figures, calls, log })
     }
 
-    /// Takes over what the file says anew; a wrong one changes nothing.
+    /// Reads the file again and applies its changes. An invalid file changes nothing; its errors are logged.
     pub fn file(&self) {
         let reloaded = self.loaded.borrow_mut().reload();
         match reloaded {
             Ok(change) => {
                 self.figures.reconfigured(true);
-                self.take(change);
+                self.apply(change);
             }
             Err(problems) => {
                 self.figures.reconfigured(false);
@@ -47,32 +47,33 @@
         }
     }
 
-    /// Takes over what the fleet has decided; one that is refused changes nothing.
+    /// Applies settings that the fleet has decided. Settings that are refused change nothing.
     ///
     /// # Errors
-    /// All that is wrong with it, one problem a line.
+    /// All errors of the settings, one a line: the text goes into the sidecar's report to the coordinator.
     pub fn fleet(&self, values: &SettingValues) -> Result<(), String> {
-        // The log's own parser is stricter than the file's: what is said to be in force must be.
+        // The log's own parser is stricter than the file's check, and what is reported as in force must be.
         if let Some(level) = values.get("log.level") {
-            levels(level).map_err(|problem| format!("log.level: {problem}"))?;
+            levels(level).map_err(|error| format!("log.level: {error}"))?;
         }
-        let taken = self.loaded.borrow_mut().take_fleet(values);
-        self.take(taken.map_err(|problems| problems.to_string())?);
+        let change = self.loaded.borrow_mut().take_fleet(values);
+        self.apply(change.map_err(|problems| problems.to_string())?);
         Ok(())
     }
 
-    fn take(&self, Change { discovery, endpoints, log, restart }: Change) {
-        let moved = discovery.map(|at| at.to_string());
-        info!(discovery = moved, endpoints = endpoints.as_ref().map(Vec::len), "reloaded");
+    fn apply(&self, change: Change) {
+        let Change { discovery, endpoints, log, restart } = change;
+        let address = discovery.map(|address| address.to_string());
+        info!(discovery = address, endpoints = endpoints.as_ref().map(Vec::len), "reloaded");
         if let Some(log) = log
-            && let Err(problem) = self.log.change(&log)
+            && let Err(error) = self.log.change(&log)
         {
-            warn!(problem, "reload: the log goes on as before");
+            warn!(problem = %error, "reload: log settings not changed");
         }
         if !restart.is_empty() {
             warn!(fields = restart.join(", "), "reload: changes that need a restart");
         }
-        // These fail only while the process ends.
+        // Sending fails only while the process ends.
         if let Some(address) = discovery {
             let _ = self.calls.send(Call::Move(address));
         }
--- a/crates/curlewhub/src/snapshot.rs
+++ b/crates/curlewhub/src/snapshot.rs
@@ -1,54 +1,47 @@
-//! A snapshot's file, for a person or a program.
+//! `curlewhub snapshot show`: prints a snapshot file of a sidecar's learned state.
 
-use crate::cli::Exit;
+use crate::output::{Exit, fail, print};
+use curlewhub_balance::Snapshot;
 use curlewhub_snapshot::decode_any;
 use serde_json::json;
-use std::fmt::Write as _;
-use std::io::Write as _;
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Prints it.
+/// Prints the snapshot with its age and the fingerprint of the settings that it belongs to.
 pub fn show(path: &Path, json: bool) -> Exit {
-    let read = std::fs::read(path).map_err(|e| e.to_string());
-    let (snapshot, fingerprint) = match read.and_then(|b| decode_any(&b).map_err(|e| e.to_string())) {
-        Ok(read) => read,
-        Err(problem) => {
-            eprintln!("curlewhub: {}: {problem}", path.display());
-            return Exit::Failed;
-        }
+    let bytes = match std::fs::read(path) {
+        Ok(bytes) => bytes,
+        Err(error) => return fail(format_args!("{}: {error}", path.display())),
     };
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let age = snapshot.age(now);
-    let fingerprint = format!("{fingerprint:016x}");
-    let text = if json {
-        json!({"age_s": age.as_secs_f64(), "fingerprint": fingerprint, "snapshot": snapshot}).to_string()
-            + "\n"
-    } else {
-        words(&snapshot, age, &fingerprint)
+    let (snapshot, fingerprint) = match decode_any(&bytes) {
+        Ok(decoded) => decoded,
+        Err(error) => return fail(format_args!("{}: {error}", path.display())),
     };
-    let _ = std::io::stdout().write_all(text.as_bytes()); // a reader that has gone is no failure
-    Exit::Done
+    let age = snapshot.age(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default());
+    let fingerprint = format!("{fingerprint:016x}");
+    if json {
+        let value = json!({"age_s": age.as_secs_f64(), "fingerprint": fingerprint, "snapshot": snapshot});
+        return print(&(value.to_string() + "\n"));
+    }
+    print(&text(&snapshot, age, &fingerprint))
 }
 
-fn words(snapshot: &curlewhub_balance::Snapshot, age: Duration, fingerprint: &str) -> String {
-    let mut text = String::new();
-    let secs = age.as_secs_f64();
-    let _ = writeln!(text, "taken {secs:.1} s ago, under settings {fingerprint}");
+fn text(snapshot: &Snapshot, age: Duration, fingerprint: &str) -> String {
+    let mut text = format!("taken {:.1} s ago, under settings {fingerprint}\n", age.as_secs_f64());
     for (name, (size, opening)) in ["own zone", "others"].iter().zip(snapshot.windows) {
         let opening = if opening { ", still opening" } else { "" };
-        let _ = writeln!(text, "window, {name}: {size:.1} attempts out{opening}");
+        text += &format!("window, {name}: {size:.1} attempts in flight{opening}\n");
     }
     for (class, (mean, unhurried)) in snapshot.latencies().iter().enumerate() {
-        let (mean, unhurried) = (mean * 1e3, unhurried * 1e3);
-        let _ = writeln!(text, "class {class}: mean latency {mean:.1} ms, unhurried {unhurried:.1} ms");
+        let (mean_ms, unhurried_ms) = (mean * 1e3, unhurried * 1e3);
+        text += &format!("class {class}: mean latency {mean_ms:.1} ms, unhurried {unhurried_ms:.1} ms\n");
     }
-    let (late, tokens) = (snapshot.late_share * 100.0, snapshot.retry_tokens);
-    let _ = writeln!(text, "late answers: {late:.1}%; retries saved up: {tokens:.1}");
+    let (late_percent, tokens) = (snapshot.late_share * 100.0, snapshot.retry_tokens);
+    text += &format!("late answers: {late_percent:.1}%; retry tokens: {tokens:.1}\n");
     for endpoint in &snapshot.endpoints {
         let started = endpoint.started.map_or("long ago".to_owned(), |at| format!("at {}", at.as_secs()));
         let (id, limit) = (endpoint.id.0, endpoint.limit);
-        let _ = writeln!(text, "endpoint {id:016x}: may hold {limit:.1} calls, started {started}");
+        text += &format!("endpoint {id:016x}: limit {limit:.1} calls in flight, started {started}\n");
     }
     text
 }
--- a/crates/curlewhub/tests/cli.rs
+++ b/crates/curlewhub/tests/cli.rs
@@ -289,3 +289,43 @@
     );
     std::io::stdout().flush().unwrap();
 }
+
+/// The help of a command, without its first lines, which name the command as it was called.
+fn help(words: &[&str]) -> String {
+    let (code, text, problem) = said(&output(&[words, &["--help"]].concat()));
+    assert_eq!(code, Some(0), "{words:?}: {problem}");
+    text[text.find("Usage:").unwrap()..].lines().skip(1).collect::<Vec<_>>().join("\n")
+}
+
+#[test]
+fn renamed_commands_are_accepted_by_their_new_and_their_earlier_name() {
+    for (new, earlier) in [
+        ("consensus-server", "keeper"),
+        ("fleet servers", "fleet keepers"),
+        ("fleet servers add", "fleet keepers add"),
+        ("fleet servers remove", "fleet keepers remove"),
+        ("fleet zones", "fleet halls"),
+        ("fleet zone leave", "fleet hall leave"),
+        ("fleet zone return", "fleet hall return"),
+        ("fleet zone hold", "fleet hall hold"),
+        ("fleet zone release", "fleet hall release"),
+    ] {
+        let words = |name: &'static str| name.split(' ').collect::<Vec<_>>();
+        assert_eq!(help(&words(new)), help(&words(earlier)), "{new}");
+    }
+}
+
+#[test]
+fn renamed_flags_are_accepted_by_their_new_and_their_earlier_name() {
+    let propose = ["fleet", "config", "propose", "--config", "/nowhere/at.toml", "--why", "a test"];
+    for flag in ["--max-refused", "--refused-most", "--max-failed", "--failed-most"] {
+        let (code, _, problem) = said(&output(&[&propose[..], &[flag, "7"]].concat()));
+        assert_eq!(code, Some(2), "{flag}");
+        assert!(
+            problem.contains("/nowhere/at.toml"),
+            "the flag is taken and the file is missed: {problem}"
+        );
+        let (_, _, problem) = said(&output(&[&propose[..], &[flag, "many"]].concat()));
+        assert!(problem.contains("many") && problem.contains("--max-"), "{flag}: {problem}");
+    }
+}
