--- a/crates/curlewhub/tests/rollout.rs
+++ b/crates/curlewhub/tests/rollout.rs
@@ -1,5 +1,5 @@
-//! A change of the configuration over real processes: three consensus servers, followers in two zones and a sidecar that
-//! serves; spread, refused by the servers, refused by the sidecar, rolled back, and found again after a restart.
+//! Configuration changes on real processes: three consensus servers, subscribers in two zones and a sidecar. Changes are
+//! rolled out, rejected by the servers, refused by the sidecar, rolled back, and in force again after a restart.
 
 use serde_json::{Value, json};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -7,9 +7,10 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-/// Nothing that the test waits for may take longer, not even on a slow machine.
-const PATIENCE: Duration = Duration::from_secs(60);
-const FOLLOWERS: [(&str, &str); 4] = [("f1", "a"), ("f2", "a"), ("f3", "b"), ("f4", "b")];
+/// Limit of every wait, also on a slow machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Names and zones of the subscribers.
+const SUBSCRIBERS: [(&str, &str); 4] = [("f1", "a"), ("f2", "a"), ("f3", "b"), ("f4", "b")];
 
 fn program(words: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_curlewhub"));
@@ -17,12 +18,12 @@
     command
 }
 
-/// A folder with a fleet's files; its processes end with it.
+/// A directory with a fleet's files; dropping it ends its processes.
 struct Fleet {
     folder: PathBuf,
-    /// What each file says of the fleet.
+    /// The settings of the fleet that all files share.
     common: String,
-    /// Where the sidecar is asked.
+    /// The sidecar's operator address.
     operator: SocketAddr,
     running: Vec<(String, Child)>,
 }
@@ -58,9 +59,9 @@
         let mut fleet = Fleet { folder, common, operator: free(30), running: Vec::new() };
         for (n, at) in (1..=3).zip(servers) {
             fleet.write(&format!("k{n}"), at, "");
-            fleet.run(&format!("k{n}"), &["keeper", "--begin"]);
+            fleet.run(&format!("k{n}"), &["consensus-server", "--begin"]);
         }
-        for (n, (name, zone)) in (10..).zip(FOLLOWERS) {
+        for (n, (name, zone)) in (10..).zip(SUBSCRIBERS) {
             fleet.write(name, free(n), &format!("hall = \"{zone}\"\n"));
             fleet.run(name, &["fleet", "follow"]);
         }
@@ -122,12 +123,12 @@
         program(&words).output().unwrap()
     }
 
-    /// What a command that is refused says.
+    /// The error of a command that is refused.
     fn refused(&self, words: &[&str]) -> String {
         let output = self.call(words);
-        let said = String::from_utf8(output.stderr).unwrap();
-        assert_eq!(output.status.code(), Some(1), "{words:?}: {said}");
-        said
+        let error = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(1), "{words:?}: {error}");
+        error
     }
 
     fn done(&self, words: &[&str]) {
@@ -135,7 +136,7 @@
         assert!(output.status.success(), "{words:?}: {}", String::from_utf8_lossy(&output.stderr));
     }
 
-    /// The status, once nothing is under way and all have this number in force.
+    /// The status, once no rollout is under way and all sidecars have this number in force.
     fn in_force(&self, number: u64, sidecars: u64) -> Value {
         let began = Instant::now();
         loop {
@@ -150,7 +151,7 @@
                 );
                 return status;
             }
-            assert!(began.elapsed() < PATIENCE, "{number} at {sidecars}: {status}");
+            assert!(began.elapsed() < WAIT_TIMEOUT, "{number} at {sidecars}: {status}");
             std::thread::sleep(Duration::from_millis(50));
         }
     }
@@ -165,7 +166,7 @@
             if text.contains(&format!("\"router.config_version\":{number}")) {
                 return;
             }
-            assert!(began.elapsed() < PATIENCE, "{number}: {text}");
+            assert!(began.elapsed() < WAIT_TIMEOUT, "{number}: {text}");
             std::thread::sleep(Duration::from_millis(50));
         }
     }
@@ -181,7 +182,7 @@
             if there == sidecars + 3 && leads {
                 return;
             }
-            assert!(began.elapsed() < PATIENCE, "{listed}");
+            assert!(began.elapsed() < WAIT_TIMEOUT, "{listed}");
             std::thread::sleep(Duration::from_millis(50));
         }
     }
@@ -189,7 +190,7 @@
     fn until_logged(&self, name: &str, wanted: &str) {
         let began = Instant::now();
         while !self.log(name).contains(wanted) {
-            assert!(began.elapsed() < PATIENCE, "{name} never said {wanted:?}: {}", self.log(name));
+            assert!(began.elapsed() < WAIT_TIMEOUT, "{name} did not log {wanted:?}: {}", self.log(name));
             std::thread::sleep(Duration::from_millis(50));
         }
     }
@@ -200,7 +201,7 @@
 }
 
 #[test]
-fn a_change_goes_everywhere_a_wrong_one_nowhere_and_a_refused_one_back() {
+fn a_change_is_rolled_out_an_invalid_one_rejected_and_a_refused_one_rolled_back() {
     let mut fleet = Fleet::start();
     fleet.until_members(5);
     let quick = ["--why", "a test", "--soak", "200ms"];
@@ -211,17 +212,20 @@
     assert_eq!(status["rollout"]["phase"]["name"], "complete", "{status}");
     fleet.sidecar_has(1);
 
-    // Nothing of a wrong one is decided, and all that is wrong is said at once; nor of one made from an older one.
-    let said = fleet.refused(&propose(&["--set", "log.level=loud", "--set", "listen=x", "--everywhere"]));
-    assert!(said.contains("log.level") && said.contains("listen") && said.contains("allowed"), "{said}");
-    let said = fleet.refused(&propose(&["--set", "log.level=warn", "--base", "0"]));
-    assert!(said.contains("made from configuration 0, and the newest is 1"), "{said}");
-    let said = fleet.refused(&propose(&["--set", "log.level=debug"]));
-    assert!(said.contains("it is so already"), "{said}");
-    let said = fleet.refused(&["propose", "--key", "config", "--kind", "4", "--body", "{}"]);
-    assert!(said.contains("by `fleet config` alone"), "{said}");
-
-    // The servers find nothing wrong, but the sidecar has no discovery that could move: one of three in the canary.
+    // An invalid change is rejected as a whole with all its errors, and so is one based on an older configuration.
+    let error = fleet.refused(&propose(&["--set", "log.level=loud", "--set", "listen=x", "--everywhere"]));
+    assert!(
+        error.contains("log.level") && error.contains("listen") && error.contains("allowed"),
+        "{error}"
+    );
+    let error = fleet.refused(&propose(&["--set", "log.level=warn", "--base", "0"]));
+    assert!(error.contains("made from configuration 0, and the newest is 1"), "{error}");
+    let error = fleet.refused(&propose(&["--set", "log.level=debug"]));
+    assert!(error.contains("it is so already"), "{error}");
+    let error = fleet.refused(&["propose", "--key", "config", "--kind", "4", "--body", "{}"]);
+    assert!(error.contains("by `fleet config` alone"), "{error}");
+
+    // Valid for the servers, but refused by the sidecar, one of three in the canary: it has no discovery to move.
     fleet.done(&propose(&["--set", "discovery.address=127.0.0.1:1", "--canary-zone", "a"]));
     let status = fleet.in_force(3, 5);
     let phase = &status["rollout"]["phase"];
@@ -230,7 +234,7 @@
     assert_eq!(status["rollout"]["target"]["settings"]["everywhere"], json!({"log.level": "debug"}));
     assert!(!fleet.log("f3").contains("number=2"), "it never left its canary: {}", fleet.log("f3"));
 
-    // A sidecar that starts again has at once what its disk holds; a server that is gone is no matter.
+    // A sidecar that restarts uses the configuration of its cached view at once, also with one server dead.
     fleet.end("s");
     fleet.end("k1");
     fleet.run("s", &["run"]);
