--- a/crates/runtime/src/handover/mod.rs
+++ b/crates/runtime/src/handover/mod.rs
@@ -11,7 +11,7 @@
 //! 3. While both live, a ban that one of them accepts is in force in both before its caller gets an answer, and both
 //!    exchange quota parts (see [`overlap`]).
 //!
-//! [`predecessor`] has the side that hands over, [`successor`] the one that takes over; a process may have both at once.
+//! `predecessor` has the side that hands over, `successor` the one that takes over; a process may have both at once.
 
 mod descriptor;
 pub mod overlap;
--- a/crates/zone-failover/src/signals.rs
+++ b/crates/zone-failover/src/signals.rs
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Drops reports and demands of sidecars that have not reported for [`RETENTION`]; to be called every few seconds.
+    /// Drops reports and demands of sidecars that have not reported for `RETENTION`; to be called every few seconds.
     pub fn expire(&mut self, now: Duration) {
         let is_retained = |at: Duration| now.saturating_sub(at) <= RETENTION;
         for pair in self.pairs.values_mut() {
