--- a/crates/curlewhub/src/fleet.rs
+++ b/crates/curlewhub/src/fleet.rs
@@ -4,10 +4,12 @@
 mod config_status;
 mod log;
 mod members;
+mod probe;
 mod process;
 mod proposals;
 mod servers;
 mod session;
+mod signals;
 mod zone_override;
 mod zones;
 
--- a/crates/curlewhub/src/fleet/config.rs
+++ b/crates/curlewhub/src/fleet/config.rs
@@ -1,8 +1,9 @@
 //! `fleet config …`: rollouts of configuration changes.
 
 use super::config_status;
-use super::proposals::{listen, print_not_decided};
+use super::probe::repeat;
 use super::session::{FleetError, with_fleet};
+use super::signals::terminate;
 use crate::cli::fleet::Author;
 use crate::cli::rollout::{DecisionArgs, ProposeArgs, RolloutCommand, SettingChanges};
 use crate::output::{Exit, print};
@@ -13,8 +14,6 @@
 use curlewhub_rollout::status::ConfigStatus;
 use serde_json::json;
 use std::time::Duration;
-use tokio::signal::unix::SignalKind;
-use tokio::time::{MissedTickBehavior, interval};
 
 /// Runs a command of `curlewhub fleet config`.
 pub fn run(command: &RolloutCommand) -> Exit {
@@ -92,22 +91,11 @@
 
 /// Proposes a change at each interval until SIGTERM, and prints a line for each.
 async fn probe(config: &FleetConfig, args: &ProposeArgs, every: Duration) -> Result<Exit, FleetError> {
-    let mut terminate = listen(SignalKind::terminate(), "SIGTERM")?;
-    let mut ticks = interval(every);
-    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    loop {
-        tokio::select! {
-            _ = ticks.tick() => {}
-            _ = terminate.recv() => return Ok(Exit::Done),
-        }
-        let proposed = match read_status(config).await {
-            Ok(status) => propose_from(config, args, &status).await,
-            Err(problem) => Err(FleetError::Call(problem)),
-        };
-        if let Err(error) = proposed {
-            print_not_decided(&error);
-        }
-    }
+    let propose = async || {
+        let status = read_status(config).await.map_err(FleetError::Call)?;
+        propose_from(config, args, &status).await
+    };
+    Ok(repeat(every, terminate()?, propose).await)
 }
 
 fn decide(decision: &DecisionArgs, action: fn(ConfigNumber) -> ConfigAction) -> Exit {
--- a/crates/curlewhub/src/fleet/process.rs
+++ b/crates/curlewhub/src/fleet/process.rs
@@ -1,6 +1,7 @@
 //! Processes of the control plane: a consensus server, and a subscriber without a sidecar.
 
 use super::session::block_on;
+use super::signals::{Shutdown, SignalError, terminate_or_interrupt};
 use crate::cli::fleet::ProcessArgs;
 use crate::logs::Logs;
 use crate::output::{Exit, fail, reject_usage};
@@ -12,21 +13,16 @@
     SubscriberOptions, SubscriberStatus, ViewHandler, run_consensus_server, run_subscriber,
 };
 use std::io;
-use std::pin::Pin;
 use thiserror::Error;
-use tokio::signal::unix::{SignalKind, signal};
 use tracing::info;
 
-/// Completes when the process is to end.
-type Shutdown = Pin<Box<dyn Future<Output = ()>>>;
-
 /// Why a process ended before it was asked to.
 #[derive(Debug, Error)]
 enum ProcessError {
     #[error(transparent)]
     Runtime(#[from] io::Error),
-    #[error("{signal}: {source}")]
-    Signal { signal: &'static str, source: io::Error },
+    #[error(transparent)]
+    Signal(#[from] SignalError),
     #[error("{0}")]
     Ended(String),
 }
@@ -74,23 +70,10 @@
         Ok(logs) => logs,
         Err(error) => return reject_usage(format_args!("--log-level: {error}")),
     };
-    let ended = block_on(async { body(&config, shutdown_signal()?).await });
+    let ended = block_on(async { body(&config, terminate_or_interrupt()?).await });
     drop(logs); // writes queued lines before the error below
     match ended.map_err(ProcessError::Runtime).and_then(|ended| ended) {
         Ok(()) => Exit::Done,
         Err(error) => fail(error),
     }
 }
-
-/// Completes at the first SIGTERM or SIGINT after this call.
-fn shutdown_signal() -> Result<Shutdown, ProcessError> {
-    let listen = |kind, name| signal(kind).map_err(|source| ProcessError::Signal { signal: name, source });
-    let mut terminate = listen(SignalKind::terminate(), "SIGTERM")?;
-    let mut interrupt = listen(SignalKind::interrupt(), "SIGINT")?;
-    Ok(Box::pin(async move {
-        tokio::select! {
-            _ = terminate.recv() => {}
-            _ = interrupt.recv() => {}
-        }
-    }))
-}
--- a/crates/curlewhub/src/fleet/proposals.rs
+++ b/crates/curlewhub/src/fleet/proposals.rs
@@ -1,15 +1,14 @@
 //! Commands that propose a record as it is: `fleet freeze`, `fleet propose` and `fleet note`.
 
+use super::probe;
 use super::session::FleetError;
+use super::signals::terminate_or_interrupt;
 use crate::cli::fleet::{Author, NoteArgs, RecordArgs};
 use crate::output::{Exit, print};
 use curlewhub_control_plane::record::{Proposal, RecordKind};
 use curlewhub_control_plane_node::admin_client;
 use curlewhub_control_plane_node::config::FleetConfig;
 use curlewhub_zone_failover::zone_states::{FREEZE_KEY, Freeze};
-use std::time::Duration;
-use tokio::signal::unix::{Signal, SignalKind, signal};
-use tokio::time::{MissedTickBehavior, interval};
 
 /// A proposal with a new random id, which deduplicates its retries.
 pub fn proposal(key: &str, kind: RecordKind, body: Vec<u8>, by: &str, why: &str) -> Proposal {
@@ -50,42 +49,11 @@
     };
     // The outcome of a probe's first proposal is not printed: it may include the time until a leader is found.
     let _ = admin_client::propose(config, &note_proposal(note)).await;
-    probe_with_notes(config, note, every).await
+    let shutdown = terminate_or_interrupt()?;
+    Ok(probe::repeat(every, shutdown, async || commit(config, &note_proposal(note)).await).await)
 }
 
 fn note_proposal(note: &NoteArgs) -> Proposal {
     let body = note.text.as_bytes().to_vec();
     proposal("note", RecordKind::NOTE, body, &note.author.by, &note.author.why)
 }
-
-/// Proposes a note at each interval until SIGTERM or SIGINT, and prints a line for each.
-async fn probe_with_notes(
-    config: &FleetConfig,
-    note: &NoteArgs,
-    every: Duration,
-) -> Result<Exit, FleetError> {
-    let mut terminate = listen(SignalKind::terminate(), "SIGTERM")?;
-    let mut interrupt = listen(SignalKind::interrupt(), "SIGINT")?;
-    let mut ticks = interval(every);
-    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    loop {
-        tokio::select! {
-            _ = ticks.tick() => {}
-            _ = terminate.recv() => return Ok(Exit::Done),
-            _ = interrupt.recv() => return Ok(Exit::Done),
-        }
-        if let Err(error) = commit(config, &note_proposal(note)).await {
-            print_not_decided(&error);
-        }
-    }
-}
-
-/// Prints the outcome of a probe's proposal that failed, as one line.
-pub fn print_not_decided(error: &FleetError) {
-    print(&format!("not decided: {}\n", error.to_string().replace('\n', "; ")));
-}
-
-/// A stream of a signal.
-pub fn listen(kind: SignalKind, name: &'static str) -> Result<Signal, FleetError> {
-    signal(kind).map_err(|source| FleetError::Signal { signal: name, source })
-}
--- a/crates/curlewhub/src/fleet/session.rs
+++ b/crates/curlewhub/src/fleet/session.rs
@@ -1,5 +1,6 @@
 //! What each command of `curlewhub fleet` needs: the fleet's file, a runtime, and its errors.
 
+use super::signals::SignalError;
 use crate::cli::fleet::FleetFile;
 use crate::output::{Exit, fail, reject_usage};
 use curlewhub_control_plane_node::config::FleetConfig;
@@ -28,13 +29,8 @@
     #[error("set: it is so already; allowed: --set or --unset of what differs")]
     Unchanged,
     /// A signal handler could not be installed.
-    #[error("{signal}: {source}")]
-    Signal {
-        /// The signal's name.
-        signal: &'static str,
-        /// What the system reported.
-        source: io::Error,
-    },
+    #[error(transparent)]
+    Signal(#[from] SignalError),
 }
 
 /// Reads the fleet's file and runs a command with it.
--- a/crates/curlewhub/tests/cli.rs
+++ b/crates/curlewhub/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what it prints, how it ends, and a sidecar run from an operator's file.
+//! The command line: output, exit codes, earlier names, and a sidecar that runs from an operator's file.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// The program, without what this machine's environment says.
+/// The program, without this machine's settings in its environment.
 fn program() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_curlewhub"));
     for name in
@@ -25,12 +25,13 @@
     program().args(words).output().unwrap()
 }
 
-fn said(output: &Output) -> (Option<i32>, String, String) {
+/// Exit code, output and error output.
+fn parts(output: &Output) -> (Option<i32>, String, String) {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (output.status.code(), text(&output.stdout), text(&output.stderr))
 }
 
-/// A file of its own for a test, in a folder that goes with it.
+/// A file in a directory of its own, which is removed when this is dropped.
 struct File(PathBuf);
 
 impl File {
@@ -61,7 +62,7 @@
     }
 }
 
-/// A configuration for these endpoints.
+/// A configuration with these endpoints.
 fn toml(listen: SocketAddr, operator: SocketAddr, endpoints: &[(&str, SocketAddr)]) -> String {
     let mut text = format!(
         "listen = \"{listen}\"\noperator = \"{operator}\"\n\
@@ -90,11 +91,11 @@
 fn ctl(at: SocketAddr, words: &[&str]) -> (Option<i32>, String, String) {
     let at = at.to_string();
     let words: Vec<&str> = ["ctl", "--at", &at].iter().chain(words).copied().collect();
-    said(&output(&words))
+    parts(&output(&words))
 }
 
 #[test]
-fn every_way_of_starting_it_wrongly_ends_with_two_and_says_why() {
+fn invalid_command_lines_and_files_exit_with_two_and_an_error() {
     let wrong = File::new("wrong", "listen = 5\nnope = 1\n");
     for words in [
         &[][..],
@@ -105,14 +106,14 @@
         &["check", "--config", wrong.path()],
         &["ctl", "--at", "somewhere", "ping"],
     ] {
-        let (code, _, problem) = said(&output(words));
+        let (code, _, problem) = parts(&output(words));
         assert_eq!(code, Some(2), "{words:?}: {problem}");
         assert!(!problem.contains("panicked"), "{problem}");
     }
     let on_platform =
         program().args(["run", "--listen", "127.0.0.1:7"]).env("ROUTER_CONFIG", "/x").output();
     assert_eq!(on_platform.unwrap().status.code(), Some(2), "a flag is not silently ignored");
-    let (code, text, _) = said(&output(&["check", "--config", wrong.path(), "--json"]));
+    let (code, text, _) = parts(&output(&["check", "--config", wrong.path(), "--json"]));
     let found: Value = serde_json::from_str(&text).unwrap();
     assert_eq!(
         (code, found["ok"].as_bool(), found["problems"].as_array().unwrap().len()),
@@ -121,22 +122,22 @@
 }
 
 #[test]
-fn what_it_prints_is_what_it_takes() {
-    let (code, example, _) = said(&output(&["config", "example"]));
+fn the_printed_example_is_valid_and_flags_override_it() {
+    let (code, example, _) = parts(&output(&["config", "example"]));
     assert_eq!(code, Some(0));
     let file = File::new("example", &example);
     assert_eq!(output(&["check", "--config", file.path()]).status.code(), Some(0));
     let (_, text, _) =
-        said(&output(&["check", "--config", file.path(), "--print", "--listen", "127.0.0.1:7171"]));
+        parts(&output(&["check", "--config", file.path(), "--print", "--listen", "127.0.0.1:7171"]));
     assert!(text.contains("listen = \"127.0.0.1:7171\"  # --listen\n"), "{text}");
     assert!(text.contains("limits.connect_timeout = \"250ms\"  # default\n"), "{text}");
-    let (code, text, _) = said(&output(&["completions", "bash"]));
+    let (code, text, _) = parts(&output(&["completions", "bash"]));
     assert!(code == Some(0) && text.contains("--config"), "{text}");
-    assert!(said(&output(&["--version"])).1.starts_with("curlewhub "));
+    assert!(parts(&output(&["--version"])).1.starts_with("curlewhub "));
 }
 
 #[test]
-fn a_newcomers_file_serves_and_ctl_reaches_it() {
+fn a_sidecar_serves_from_a_minimal_file_and_answers_ctl() {
     let peer = Peer::serving("hello");
     let (listen, operator) = (nowhere(), nowhere());
     let file = File::new("serves", &toml(listen, operator, &[("one", peer.address)]));
@@ -160,7 +161,7 @@
 }
 
 #[test]
-fn a_call_to_a_dead_or_silent_address_ends_within_two_seconds_and_says_so() {
+fn a_call_to_a_dead_or_silent_address_fails_before_its_deadline() {
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     for (at, want) in
         [(nowhere(), "nobody listens there"), (silent.local_addr().unwrap(), "no answer within")]
@@ -177,14 +178,14 @@
 }
 
 #[test]
-fn a_second_sidecar_on_the_port_is_told_so_and_the_first_goes_on() {
+fn a_second_sidecar_on_the_same_port_fails_and_the_first_keeps_serving() {
     let peer = Peer::serving("first");
     let (listen, operator) = (nowhere(), nowhere());
     let file = File::new("port", &toml(listen, operator, &[("one", peer.address)]));
     let sidecar = start(&file, listen, operator);
     let second = |words: &[&str]| {
         let words: Vec<&str> = ["run", "--config", file.path()].iter().chain(words).copied().collect();
-        said(&program().args(words).env("TMPDIR", file.folder()).output().unwrap())
+        parts(&program().args(words).env("TMPDIR", file.folder()).output().unwrap())
     };
     let (code, _, problem) = second(&[]);
     assert_eq!(code, Some(1));
@@ -204,7 +205,7 @@
 }
 
 #[test]
-fn sighup_takes_a_new_list_over_drains_what_is_gone_and_keeps_the_old_one_where_the_file_is_broken() {
+fn sighup_applies_a_new_list_drains_removed_endpoints_and_ignores_an_invalid_file() {
     let (old, new) = (Peer::new(|_| Do::Late(Duration::from_millis(500))), Peer::serving("new"));
     let (listen, operator) = (nowhere(), nowhere());
     let file = File::new("hup", &toml(listen, operator, &[("old", old.address)]));
@@ -220,7 +221,7 @@
     sidecar.signal("-HUP");
     wait_for("the new list", || sidecar.figure("reconfig_ok") == 1 && sidecar.figure("hosts_listed") == 2);
     assert_eq!(sidecar.figure("hosts_down"), 1, "the old one drains");
-    // What is new is taken for cold: a burst on it alone may be refused, but nothing goes to the old one.
+    // The new endpoint is in slow start: it may refuse part of a burst, but nothing is sent to the old one.
     let mut served = 0;
     for n in 0..20 {
         let answer = sidecar.client().ask("quote", &format!("r1-{n}"));
@@ -229,18 +230,18 @@
     }
     assert!(served > 0);
     assert_eq!(old.count(), 1);
-    assert_eq!(client.receive().expect("what was open there is still answered").body, b"late");
+    assert_eq!(client.receive().expect("an attempt in flight is still answered").body, b"late");
     assert!(sidecar.child.try_wait().unwrap().is_none());
     sidecar.says("reload: going on as before");
 }
 
 #[test]
-fn a_log_that_nobody_reads_or_whose_reader_is_gone_does_not_stop_traffic() {
+fn a_log_without_a_reader_does_not_stop_traffic() {
     let peer = Peer::serving("hello");
     for gone in [true, false] {
         let (listen, operator) = (nowhere(), nowhere());
         let file = File::new(&format!("log-{gone}"), &toml(listen, operator, &[("one", peer.address)]));
-        // At this level every request writes lines: a pipe that nobody empties is soon full.
+        // At this level every request writes lines, so a pipe without a reader is soon full.
         let mut child = program()
             .args([
                 "run",
@@ -268,7 +269,7 @@
 }
 
 #[test]
-fn json_lines_have_fields_by_name() {
+fn json_log_lines_have_named_fields() {
     let peer = Peer::serving("hello");
     let (listen, operator) = (nowhere(), nowhere());
     let text =
@@ -292,7 +293,7 @@
 
 /// The help of a command, without its first lines, which name the command as it was called.
 fn help(words: &[&str]) -> String {
-    let (code, text, problem) = said(&output(&[words, &["--help"]].concat()));
+    let (code, text, problem) = parts(&output(&[words, &["--help"]].concat()));
     assert_eq!(code, Some(0), "{words:?}: {problem}");
     text[text.find("Usage:").unwrap()..].lines().skip(1).collect::<Vec<_>>().join("\n")
 }
@@ -319,13 +320,13 @@
 fn renamed_flags_are_accepted_by_their_new_and_their_earlier_name() {
     let propose = ["fleet", "config", "propose", "--config", "/nowhere/at.toml", "--why", "a test"];
     for flag in ["--max-refused", "--refused-most", "--max-failed", "--failed-most"] {
-        let (code, _, problem) = said(&output(&[&propose[..], &[flag, "7"]].concat()));
+        let (code, _, problem) = parts(&output(&[&propose[..], &[flag, "7"]].concat()));
         assert_eq!(code, Some(2), "{flag}");
         assert!(
             problem.contains("/nowhere/at.toml"),
             "the flag is taken and the file is missed: {problem}"
         );
-        let (_, _, problem) = said(&output(&[&propose[..], &[flag, "many"]].concat()));
+        let (_, _, problem) = parts(&output(&[&propose[..], &[flag, "many"]].concat()));
         assert!(problem.contains("many") && problem.contains("--max-"), "{flag}: {problem}");
     }
 }
