--- a/crates/adapter/src/fields.rs
+++ b/crates/adapter/src/fields.rs
@@ -87,12 +87,12 @@
         Ok(match self.text(field)? {
             "200" => Outcome::Ok,
             "502" => Outcome::Error,
-            "429" => Outcome::Full,
+            "429" => Outcome::Rejected,
             "408" => Outcome::TimedOut,
             "521" => Outcome::ConnectFailed,
             "520" => Outcome::Reset,
             "444" => Outcome::Cancelled,
-            "409" => Outcome::Moot,
+            "409" => Outcome::NotSent,
             other => return Err(self.error(field, format!("`{other}` is no known outcome"))),
         })
     }
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -160,7 +160,7 @@
         actions.clear();
         let about = match &event {
             Event::AttemptEnded(ended) => Some(ended.request),
-            Event::RequestGone(id) => Some(*id),
+            Event::RequestAbandoned(id) => Some(*id),
             _ => None,
         };
         let balancer = &mut host.balancer;
@@ -232,7 +232,7 @@
         let Some(known) = self.known.get_mut(&id) else { return false };
         match event {
             Event::StreamStarted { request, .. } => *request = id,
-            Event::RequestGone(request) => {
+            Event::RequestAbandoned(request) => {
                 *request = id;
                 known.finished = true;
             }
--- a/crates/adapter/src/parse.rs
+++ b/crates/adapter/src/parse.rs
@@ -57,9 +57,9 @@
 /// An entry of a list.
 fn entry(fields: &mut Fields, names: &mut EndpointNames) -> Result<EndpointInfo, WireError> {
     Ok(EndpointInfo {
-        id: names.id(fields.text("endpoint")?),
+        id: names.intern(fields.text("endpoint")?),
         zone: ZoneId(fields.index("az")? as u32),
-        kind: KindId(fields.index("kind")? as u32),
+        machine_kind: MachineKindId(fields.index("kind")? as u32),
         cell: CellId(match fields.optional("group")? {
             None => 0,
             Some(text) => fields.parsed("group", text, "a whole number in range")?,
@@ -107,10 +107,10 @@
             (Some(name), Event::StreamStarted { request: UNSET, attempt })
         }
         "result" => result(fields, names)?,
-        "aborted" => (Some(fields.text("job")?.to_owned()), Event::RequestGone(UNSET)),
+        "aborted" => (Some(fields.text("job")?.to_owned()), Event::RequestAbandoned(UNSET)),
         "timeout_fired" => (None, Event::Timer(TimerToken(fields.integer("ctx")?))),
         "sampled" => {
-            let endpoint = names.id(fields.text("endpoint")?);
+            let endpoint = names.intern(fields.text("endpoint")?);
             let outcome = fields.outcome("how")?;
             let elapsed = fields.time("elapsedMs")?;
             let report = fields.report("report")?;
@@ -148,9 +148,9 @@
         work_hint: work_hint.filter(|_| attributes & HAS_ESTIMATE != 0),
         key,
         client_retry: attributes & IS_CLIENT_RETRY != 0,
-        body_coming: false,
+        body_incomplete: false,
         write: attributes & IS_WRITE != 0,
-        earlier: None,
+        earlier_attempt: None,
     });
     Ok((Some(name), event))
 }
@@ -161,7 +161,7 @@
     let outcome = fields.outcome("how")?;
     let elapsed = fields.time("elapsedMs")?;
     let finished = fields.flag("noMore")?;
-    let endpoint = names.id(fields.text("endpoint")?);
+    let endpoint = names.intern(fields.text("endpoint")?);
     let attempt = AttemptNo(fields.integer("copy")?);
     let report = fields.report("report")?;
     let request = UNSET;
--- a/crates/adapter/src/print.rs
+++ b/crates/adapter/src/print.rs
@@ -7,7 +7,7 @@
 /// has no word for: a timer can't be taken back, and comes for nothing.
 pub fn print(instance: u32, action: &Action, request: &str, names: &EndpointNames) -> Option<String> {
     Some(match action {
-        Action::DropTimer { .. } => return None,
+        Action::CancelTimer { .. } => return None,
         Action::Send { endpoint, timeout, .. } => {
             // Zero would mean "no time-out of its own", so the least that can be said is a microsecond.
             let timeout = (*timeout).max(Duration::from_micros(1));
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -46,7 +46,7 @@
     assert_eq!(settings.discovery, Discovery::Ask);
     assert_eq!(settings.classes[0].worth, 3.0);
     let window = Duration::from_millis(400);
-    assert_eq!(settings.classes[1].semantics, Semantics::Keyed { group: Group::Cell, window });
+    assert_eq!(settings.classes[1].semantics, Semantics::Keyed { group: DeduplicationScope::Cell, window });
     assert_eq!(settings.load_reports.via, ReportVia::Probe);
     assert_eq!(settings.load_reports.fields, [LoadField::Outstanding, LoadField::Other]);
     assert_eq!(settings.weights, WeightKind::Live);
@@ -179,9 +179,9 @@
 #[test]
 fn actions_are_printed_in_the_order_of_the_page() {
     let mut names = EndpointNames::default();
-    let endpoint = names.id("10.0.0.1:80");
+    let endpoint = names.intern("10.0.0.1:80");
     let request = RequestId(1);
-    assert_eq!(print(3, &Action::DropTimer { token: TimerToken(77) }, "", &names), None);
+    assert_eq!(print(3, &Action::CancelTimer { token: TimerToken(77) }, "", &names), None);
     let print = |action| print(3, &action, "t/x", &names).expect("the wire has a word for it");
     let timeout = Duration::from_micros(80_500);
     assert_eq!(print(Action::Send { request, endpoint, timeout }), "try 3 t/x 80.5 10.0.0.1:80");
@@ -260,9 +260,9 @@
 #[test]
 fn an_endpoint_has_the_same_id_at_every_host() {
     let (mut one, mut two) = (EndpointNames::default(), EndpointNames::default());
-    let (a, b) = (one.id("10.18.74.7:11203"), one.id("10.18.74.7:11204"));
-    two.id("10.144.17.242:11244");
-    assert_eq!((two.id("10.18.74.7:11204"), two.id("10.18.74.7:11203")), (b, a));
+    let (a, b) = (one.intern("10.18.74.7:11203"), one.intern("10.18.74.7:11204"));
+    two.intern("10.144.17.242:11244");
+    assert_eq!((two.intern("10.18.74.7:11204"), two.intern("10.18.74.7:11203")), (b, a));
     assert_ne!(a, b);
     assert_eq!(two.name(a), "10.18.74.7:11203");
 }
--- a/crates/balance/benches/decisions.rs
+++ b/crates/balance/benches/decisions.rs
@@ -72,7 +72,7 @@
                     self.timers.insert((self.now + after, token.0));
                     self.due.insert(token.0, self.now + after);
                 }
-                Action::DropTimer { token } => {
+                Action::CancelTimer { token } => {
                     if let Some(at) = self.due.remove(&token.0) {
                         self.timers.remove(&(at, token.0));
                     }
--- a/crates/balance/src/balance.rs
+++ b/crates/balance/src/balance.rs
@@ -12,9 +12,9 @@
 mod slow_start;
 mod snapshot;
 
-pub use facts::Portion;
-pub use members::{RefusalCause, refused_wait};
-pub use snapshot::{AGE_MOST, EndpointSnapshot, Snapshot};
+pub use facts::ShareTransfer;
+pub use members::{RefusalCause, refusal_retry_delay};
+pub use snapshot::{EndpointSnapshot, MAX_SNAPSHOT_AGE, Snapshot};
 
 use crate::held::{Held, Kind, Walk};
 use crate::stats::{Draws, Fading, LATENCY_FIRST, Latency, UNHURRIED_FIRST};
@@ -86,7 +86,7 @@
     /// Set for it, and dropped with it.
     timers: Vec<TimerToken>,
     /// Where its job may have run before it came here.
-    earlier: Option<Earlier>,
+    earlier: Option<EarlierAttempt>,
     finished: bool,
     streaming: bool,
     /// Its body still comes.
@@ -214,9 +214,13 @@
     }
 
     /// The sends that are not known never to have run, the first in front.
-    fn may_have_run(&self) -> impl Iterator<Item = Earlier> {
+    fn may_have_run(&self) -> impl Iterator<Item = EarlierAttempt> {
         let own = self.attempts.iter().filter(|a| a.fate != Fate::NeverRan);
-        self.earlier.into_iter().chain(own.map(|a| Earlier { zone: a.zone, cell: a.cell, sent: a.sent }))
+        self.earlier.into_iter().chain(own.map(|a| EarlierAttempt {
+            zone: a.zone,
+            cell: a.cell,
+            sent: a.sent,
+        }))
     }
 }
 
@@ -276,10 +280,12 @@
             Event::StreamStarted { request, .. } => {
                 self.requests.get_mut(&request).into_iter().for_each(|p| p.streaming = true)
             }
-            Event::BodyFlows(id) => self.requests.get_mut(&id).into_iter().for_each(|p| p.once = true),
-            Event::BodyWhole { request, time_left } => self.on_body_whole(now, request, time_left, out),
+            Event::BodyNotReplayable(id) => {
+                self.requests.get_mut(&id).into_iter().for_each(|p| p.once = true)
+            }
+            Event::BodyComplete { request, time_left } => self.on_body_whole(now, request, time_left, out),
             Event::AttemptEnded(ended) => self.on_attempt_ended(now, ended, out),
-            Event::RequestGone(id) => self.finish(id, out),
+            Event::RequestAbandoned(id) => self.finish(id, out),
             Event::Timer(token) => match self.timers.remove(&token.0) {
                 Some(Timer::Deadline(id)) => self.give_up(id, out),
                 Some(Timer::Overdue(id, attempt)) => self.on_overdue(now, id, attempt, out),
@@ -295,7 +301,7 @@
                 None => {}
             },
             Event::Zones(rights) => self.on_zones(now, rights, out),
-            Event::Ban { endpoint, on } => self.on_ban(now, endpoint, on, out),
+            Event::Ban { endpoint, banned } => self.on_ban(now, endpoint, banned, out),
             Event::ProbeEnded { .. } | Event::PeerMessage { .. } => {}
         }
     }
--- a/crates/balance/src/balance/attempts.rs
+++ b/crates/balance/src/balance/attempts.rs
@@ -41,10 +41,10 @@
             part,
             attempts: Vec::new(),
             timers: Vec::new(),
-            earlier: request.earlier,
+            earlier: request.earlier_attempt,
             finished: false,
             streaming: false,
-            coming: request.body_coming,
+            coming: request.body_incomplete,
             once: false,
             not_before: None,
         };
@@ -111,7 +111,7 @@
     fn is_stuck(&self, pending: &Pending) -> bool {
         let (semantics, elsewhere) =
             (self.settings.classes[pending.class].semantics, (ZoneId(!0), CellId(!0)));
-        let stays = |ran: &Earlier| !semantics.may_follow((ran.zone, ran.cell), elsewhere);
+        let stays = |ran: &EarlierAttempt| !semantics.may_retry_at((ran.zone, ran.cell), elsewhere);
         pending.may_have_run().any(|ran| stays(&ran) && !self.zones.is_open(ran.zone))
     }
 
@@ -229,7 +229,7 @@
         let idle = self.requests.get(&id).is_some_and(|p| !p.settled() && p.none_out());
         // What was withdrawn before its first byte is chosen anew, and no retry; nor does a fault of this
         // machine put any load on an endpoint.
-        let cost = if matches!(ended.outcome, Outcome::Moot | Outcome::LocalFault) { 0.0 } else { 1.0 };
+        let cost = if matches!(ended.outcome, Outcome::NotSent | Outcome::LocalFault) { 0.0 } else { 1.0 };
         if idle && self.retry_tokens >= cost && self.may_repeat(now, id) {
             self.retry_tokens -= cost;
             self.advance(now, id, out);
@@ -245,14 +245,14 @@
         let whole = |p: &&Pending| !p.once || p.attempts.is_empty();
         let Some(pending) = self.requests.get(&id).filter(whole) else { return false };
         let first = pending.may_have_run().next().map(|ran| ran.sent);
-        self.settings.classes[pending.class].semantics.may_repeat(now, first)
+        self.settings.classes[pending.class].semantics.may_retry(now, first)
     }
 
     /// The last word on a request that can't be served: a refusal where that is true, else a failure.
     pub(super) fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id).filter(|p| !p.settled()) else { return };
         let may_have_run = pending.may_have_run().next().is_some();
-        let harmless = self.settings.classes[pending.class].semantics.is_harmless(may_have_run);
+        let harmless = self.settings.classes[pending.class].semantics.client_may_retry(may_have_run);
         // The time in which a place comes free.
         let usual = Duration::from_secs_f64(self.latency[pending.class].mean).max(HOLD_RECHECK);
         let limits = &self.settings.limits;
@@ -274,7 +274,7 @@
         }
         for token in std::mem::take(&mut pending.timers) {
             if self.timers.remove(&token.0).is_some() {
-                out.push(Action::DropTimer { token });
+                out.push(Action::CancelTimer { token });
             }
         }
         self.held.remove(id);
--- a/crates/balance/src/balance/choice.rs
+++ b/crates/balance/src/balance/choice.rs
@@ -153,7 +153,9 @@
             return false;
         }
         let (semantics, info) = (self.settings.classes[pending.class].semantics, &endpoint.info);
-        pending.may_have_run().all(|ran| semantics.may_follow((ran.zone, ran.cell), (info.zone, info.cell)))
+        pending
+            .may_have_run()
+            .all(|ran| semantics.may_retry_at((ran.zone, ran.cell), (info.zone, info.cell)))
     }
 
     /// Own calls that an endpoint may hold now.
--- a/crates/balance/src/balance/learning.rs
+++ b/crates/balance/src/balance/learning.rs
@@ -74,7 +74,7 @@
             Outcome::Error | Outcome::Reset => slow,
             Outcome::Cancelled => slow && !silent,
             Outcome::TimedOut => !silent,
-            outcome => outcome == Outcome::Full,
+            outcome => outcome == Outcome::Rejected,
         };
         let (part, side, of_few) = (self.part(), self.side(i), self.of_few());
         // One call an endpoint, parted among all, is the least a window falls to; and the larger the less it
@@ -123,9 +123,9 @@
                     self.prove(now);
                 }
             }
-            Outcome::Cancelled | Outcome::Moot | Outcome::LocalFault => {}
+            Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFault => {}
             // It may drain, and the notice be on its way: nothing goes there until the list is heard again.
-            Outcome::Full if self.list_old.is_some() => endpoint.add_heat(now, HEAT_MOST),
+            Outcome::Rejected if self.list_old.is_some() => endpoint.add_heat(now, HEAT_MOST),
             _ => endpoint.add_heat(now, FAILURE_HEAT),
         }
     }
--- a/crates/balance/src/balance/members.rs
+++ b/crates/balance/src/balance/members.rs
@@ -43,7 +43,12 @@
 
 /// The wait behind a call that discovery refused after it took so long, behind so many refusals in a row, by
 /// a draw from 0 to 1.
-pub fn refused_wait(refusals_before: u32, cause: RefusalCause, took: Duration, draw: f64) -> Duration {
+pub fn refusal_retry_delay(
+    refusals_before: u32,
+    cause: RefusalCause,
+    took: Duration,
+    draw: f64,
+) -> Duration {
     let (without_growth, growth) = match cause {
         RefusalCause::Unknown => (REFUSALS_WITHOUT_GROWTH, REFUSED_GROWTH),
         RefusalCause::TooManyCallers => (CROWDED_WITHOUT_GROWTH, CROWDED_GROWTH),
@@ -71,7 +76,7 @@
                     let (draw, took) = (self.draws.uniform(), now.saturating_sub(self.asked));
                     let wait = (doubled * (0.5 + draw) - took.as_secs_f64()).max(ASK_LEAST * draw);
                     let wait = match refused {
-                        true => refused_wait(self.ask_refusals, RefusalCause::Unknown, took, draw),
+                        true => refusal_retry_delay(self.ask_refusals, RefusalCause::Unknown, took, draw),
                         false => Duration::from_secs_f64(wait),
                     };
                     self.ask_failures = self.ask_failures.saturating_add(1);
@@ -184,7 +189,7 @@
     }
 
     /// What may go into zones. What is out to one that is dark now ends, and goes on as its class permits.
-    pub(super) fn on_zones(&mut self, now: Duration, rights: ZoneRights, out: &mut Vec<Action>) {
+    pub(super) fn on_zones(&mut self, now: Duration, rights: ZoneAdmissions, out: &mut Vec<Action>) {
         let dark = self.zones.set(now, rights, self.draws.uniform());
         self.choose_part(now);
         let ends = |a: &Attempt| a.fate == Fate::Out && dark.contains(&a.zone);
--- a/crates/balance/src/balance/share.rs
+++ b/crates/balance/src/balance/share.rs
@@ -4,29 +4,35 @@
 //! takes the mean of both by weight. So `share * window`, summed over both processes, stays what it was when
 //! parts move, and answers change it by what they would change one process's.
 
-use super::{Balancer, Portion, RETRY_SAVED};
+use super::{Balancer, RETRY_SAVED, ShareTransfer};
 use crate::types::Action;
 use std::time::Duration;
 
 impl Balancer {
     /// Another process holds everything: this one begins with nothing.
-    pub fn holds_nothing(&mut self, now: Duration) {
+    pub fn begin_without_share(&mut self, now: Duration) {
         self.set_share(now, 0.0);
         self.retry_tokens = 0.0;
     }
 
     /// Keeps this share, which is less than before; gives what goes along with the rest.
-    pub fn gives(&mut self, now: Duration, share: f64) -> Portion {
+    pub fn release_share(&mut self, now: Duration, share: f64) -> ShareTransfer {
         let kept = if self.share > 0.0 { (share / self.share).min(1.0) } else { 1.0 };
         let retries = self.retry_tokens * (1.0 - kept);
         self.retry_tokens -= retries;
         self.set_share(now, share);
-        Portion { windows: self.windows.map(|window| (window.size, window.opening)), retries }
+        ShareTransfer { windows: self.windows.map(|window| (window.size, window.opening)), retries }
     }
 
     /// Has this share from now on, which is more than before, and what goes along with it; nothing does where
     /// the other process has gone.
-    pub fn gains(&mut self, now: Duration, share: f64, portion: Option<&Portion>, out: &mut Vec<Action>) {
+    pub fn acquire_share(
+        &mut self,
+        now: Duration,
+        share: f64,
+        portion: Option<&ShareTransfer>,
+        out: &mut Vec<Action>,
+    ) {
         let weight = if share > 0.0 { 1.0 - (self.share / share).min(1.0) } else { 0.0 };
         if let Some(portion) = portion {
             for (window, (size, opening)) in self.windows.iter_mut().zip(portion.windows) {
--- a/crates/balance/src/balance/share/tests.rs
+++ b/crates/balance/src/balance/share/tests.rs
@@ -33,9 +33,9 @@
         (window.size, window.opening) = (size, false);
     }
     old.endpoints.iter_mut().for_each(|endpoint| endpoint.limit = 50.0);
-    new.holds_nothing(now);
-    let portion = old.gives(now, 1.0 - given);
-    new.gains(now, given, Some(&portion), &mut Vec::new());
+    new.begin_without_share(now);
+    let portion = old.release_share(now, 1.0 - given);
+    new.acquire_share(now, given, Some(&portion), &mut Vec::new());
     assert!(new.restore(now, &old.snapshot(now)));
     (old, new)
 }
@@ -76,9 +76,9 @@
                 continue;
             }
             let (kept, got) = (from.share() - share, to.share());
-            let portion = from.gives(now, share);
-            prop_assert!(portion.is_sound());
-            to.gains(now, got + kept, Some(&portion), &mut Vec::new());
+            let portion = from.release_share(now, share);
+            prop_assert!(portion.is_valid());
+            to.acquire_share(now, got + kept, Some(&portion), &mut Vec::new());
         }
         for (side, before) in before.into_iter().enumerate() {
             let after = total(&old, &new, side);
@@ -130,6 +130,6 @@
     let (_old, mut new) = pair([8.0, 1.0], 0.125, now);
     assert_eq!(sent(&mut new, now, 0, 8).len(), 1);
     let mut out = Vec::new();
-    new.gains(now, 1.0, None, &mut out);
+    new.acquire_share(now, 1.0, None, &mut out);
     assert_eq!(out.iter().filter(|action| matches!(action, Action::Send { .. })).count(), 7);
 }
--- a/crates/balance/src/balance/snapshot.rs
+++ b/crates/balance/src/balance/snapshot.rs
@@ -11,7 +11,7 @@
 
 /// A snapshot older than this says nothing of limits and windows any more: proofs are believed for half as
 /// long, and a machine's slow state lingers for half as long.
-pub const AGE_MOST: Duration = Duration::from_secs(60);
+pub const MAX_SNAPSHOT_AGE: Duration = Duration::from_secs(60);
 /// No limit, window, rate or token count lies beyond this.
 const VALUE_MOST: f64 = 1e9;
 
@@ -67,7 +67,7 @@
 
     /// The same on a clock that is ahead by so many microseconds of the one that it was taken on. The starts of
     /// endpoints are of the list, not of that clock.
-    pub fn moved(mut self, micros: i64) -> Snapshot {
+    pub fn shifted(mut self, micros: i64) -> Snapshot {
         if micros == 0 {
             return self;
         }
@@ -94,7 +94,7 @@
     }
 
     /// Whether every value is one that a balancer could have reached: a number, and in its range.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let number = |value: f64| (0.0..=VALUE_MOST).contains(&value);
         let signed = |value: f64| (-VALUE_MOST..=VALUE_MOST).contains(&value);
         let fading = |f: &Fading| signed(f.value);
@@ -151,8 +151,8 @@
     pub fn restore(&mut self, now: Duration, snapshot: &Snapshot) -> bool {
         let fits = snapshot.latency.len() == self.latency.len()
             && snapshot.tenants.len() == self.tenants.rates().len()
-            && snapshot.is_sound();
-        if !fits || snapshot.age(now) > AGE_MOST {
+            && snapshot.is_valid();
+        if !fits || snapshot.age(now) > MAX_SNAPSHOT_AGE {
             return false;
         }
         for old in &snapshot.endpoints {
@@ -242,7 +242,7 @@
                 ended += 1;
                 let outcome = match (how.wrapping_add(attempt)) % 8 {
                     0 => Outcome::Error,
-                    1 => Outcome::Full,
+                    1 => Outcome::Rejected,
                     2 => Outcome::Reset,
                     _ => Outcome::Ok,
                 };
@@ -264,7 +264,8 @@
                 attempt += 1;
             }
             // Timers' numbers are a balancer's own.
-            actions.retain(|action| !matches!(action, Action::SetTimer { .. } | Action::DropTimer { .. }));
+            actions
+                .retain(|action| !matches!(action, Action::SetTimer { .. } | Action::CancelTimer { .. }));
             all.extend(actions);
         }
         all
@@ -320,7 +321,7 @@
         let limits: Vec<f64> = new.endpoints.iter().map(|endpoint| endpoint.limit).collect();
         assert_eq!(limits, [LIMIT_START, 7.0, 7.0, 7.0, 7.0]);
         let mut late = balancer(5);
-        assert!(!late.restore(now + AGE_MOST + Duration::from_secs(1), &snapshot));
+        assert!(!late.restore(now + MAX_SNAPSHOT_AGE + Duration::from_secs(1), &snapshot));
         assert_eq!(late.endpoints[0].limit, LIMIT_START);
         assert!(late.restore(now - Duration::from_secs(9), &snapshot), "the clock has stepped back");
     }
--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -28,6 +28,9 @@
 mod uses;
 mod zones;
 
-pub use balance::{AGE_MOST, Balancer, EndpointSnapshot, Portion, RefusalCause, Snapshot, refused_wait};
+pub use balance::{
+    Balancer, EndpointSnapshot, MAX_SNAPSHOT_AGE, RefusalCause, ShareTransfer, Snapshot,
+    refusal_retry_delay,
+};
 pub use names::EndpointNames;
 pub use types::*;
--- a/crates/balance/src/names.rs
+++ b/crates/balance/src/names.rs
@@ -13,7 +13,7 @@
 
 impl EndpointNames {
     /// The id of a name, new if it was never seen.
-    pub fn id(&mut self, name: &str) -> EndpointId {
+    pub fn intern(&mut self, name: &str) -> EndpointId {
         // FNV-1a: the same on every machine and in every release, as std's hashers are not.
         let mut hasher = FnvHasher::default();
         hasher.write(name.as_bytes());
--- a/crates/balance/src/types/actions.rs
+++ b/crates/balance/src/types/actions.rs
@@ -42,7 +42,7 @@
         after: Duration,
     },
     /// A timer whose coming would bring nothing about any more. A host that can't take it back may let it come.
-    DropTimer {
+    CancelTimer {
         /// As it was set with.
         token: TimerToken,
     },
--- a/crates/balance/src/types/classes.rs
+++ b/crates/balance/src/types/classes.rs
@@ -44,7 +44,7 @@
     /// Endpoints of one group drop repeats for a while.
     Keyed {
         /// Which endpoints drop each other's repeats.
-        group: Group,
+        group: DeduplicationScope,
         /// For how long, from the first send that may have run.
         window: Duration,
     },
@@ -54,7 +54,7 @@
 
 impl Semantics {
     /// Whether a job may be sent again now; `first` is when it was first sent, if that may have run.
-    pub fn may_repeat(self, now: Duration, first: Option<Duration>) -> bool {
+    pub fn may_retry(self, now: Duration, first: Option<Duration>) -> bool {
         match (self, first) {
             (_, None) | (Semantics::Safe, _) => true,
             (Semantics::Unsafe, Some(_)) => false,
@@ -63,18 +63,20 @@
     }
 
     /// Whether a job that may have run at one place may be sent to another.
-    pub fn may_follow(self, ran: (ZoneId, CellId), to: (ZoneId, CellId)) -> bool {
+    pub fn may_retry_at(self, ran: (ZoneId, CellId), to: (ZoneId, CellId)) -> bool {
         match self {
-            Semantics::Keyed { group: Group::Zone, .. } => ran.0 == to.0,
-            Semantics::Keyed { group: Group::Cell, .. } => ran.1 == to.1,
-            Semantics::Keyed { group: Group::All, .. } | Semantics::Safe | Semantics::Unsafe => true,
+            Semantics::Keyed { group: DeduplicationScope::Zone, .. } => ran.0 == to.0,
+            Semantics::Keyed { group: DeduplicationScope::Cell, .. } => ran.1 == to.1,
+            Semantics::Keyed { group: DeduplicationScope::All, .. }
+            | Semantics::Safe
+            | Semantics::Unsafe => true,
         }
     }
 
     /// Whether a client may try again wherever it likes.
-    pub fn is_harmless(self, may_have_run: bool) -> bool {
+    pub fn client_may_retry(self, may_have_run: bool) -> bool {
         match self {
-            Semantics::Safe | Semantics::Keyed { group: Group::All, .. } => true,
+            Semantics::Safe | Semantics::Keyed { group: DeduplicationScope::All, .. } => true,
             Semantics::Keyed { .. } | Semantics::Unsafe => !may_have_run,
         }
     }
@@ -82,7 +84,7 @@
 
 /// The endpoints among which a keyed repeat is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All endpoints.
     All,
     /// Those of one zone.
--- a/crates/balance/src/types/endpoints.rs
+++ b/crates/balance/src/types/endpoints.rs
@@ -1,6 +1,6 @@
 //! What discovery says of endpoints, and what may go into their zones.
 
-use super::{CellId, EndpointId, KindId, ZoneId};
+use super::{CellId, EndpointId, MachineKindId, ZoneId};
 use std::time::Duration;
 
 /// What discovery says of one endpoint.
@@ -11,7 +11,7 @@
     /// Its zone.
     pub zone: ZoneId,
     /// Its machine kind.
-    pub kind: KindId,
+    pub machine_kind: MachineKindId,
     /// Its cell.
     pub cell: CellId,
     /// Whether it may be sent to.
@@ -28,7 +28,7 @@
         EndpointInfo {
             id: EndpointId(id),
             zone: ZoneId(0),
-            kind: KindId(0),
+            machine_kind: MachineKindId(0),
             cell: CellId(0),
             state: EndpointState::Ready,
             weight: 1.0,
@@ -64,15 +64,15 @@
 }
 
 /// What may go into zones, by zone.
-pub type ZoneRights = Vec<(ZoneId, ZoneRight)>;
+pub type ZoneAdmissions = Vec<(ZoneId, ZoneAdmission)>;
 
 /// What may go into a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum ZoneRight {
+pub enum ZoneAdmission {
     /// Anything.
     Open,
     /// This part of the requests, 0 to 1.
-    Part(f64),
+    Fraction(f64),
     /// So many calls a second until then, and nothing from then on.
     Rate {
         /// Calls a second.
@@ -83,5 +83,5 @@
     /// Nothing new; what is out goes on.
     Closed,
     /// Nothing new, and what is out there goes elsewhere as its class permits: nobody answers.
-    Dark,
+    Unreachable,
 }
--- a/crates/balance/src/types/events.rs
+++ b/crates/balance/src/types/events.rs
@@ -1,7 +1,8 @@
 //! What a balancer is told while it runs.
 
 use super::{
-    AttemptNo, CellId, ClassId, EndpointId, Membership, RequestId, TenantId, TimerToken, ZoneId, ZoneRights,
+    AttemptNo, CellId, ClassId, EndpointId, Membership, RequestId, TenantId, TimerToken, ZoneAdmissions,
+    ZoneId,
 };
 use std::time::Duration;
 
@@ -19,9 +20,9 @@
     /// A request arrived and is owed one final answer.
     Request(Request),
     /// More of a coming body has gone to an endpoint than is kept: no further attempt can be made.
-    BodyFlows(RequestId),
+    BodyNotReplayable(RequestId),
     /// A coming body has come whole; the request's time begins to run.
-    BodyWhole {
+    BodyComplete {
         /// The request.
         request: RequestId,
         /// Time until the client gives this try up.
@@ -37,7 +38,7 @@
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
     /// The client left, or its answer is overdue; nothing is owed any more.
-    RequestGone(RequestId),
+    RequestAbandoned(RequestId),
     /// A timer came due.
     Timer(TimerToken),
     /// A probe ended.
@@ -56,10 +57,10 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// Out of use, rather than back.
-        on: bool,
+        banned: bool,
     },
     /// What may go into zones from now on, all of them; a zone that is not named is open.
-    Zones(ZoneRights),
+    Zones(ZoneAdmissions),
     /// A message from another balancer of this tier.
     PeerMessage {
         /// The sender's number.
@@ -80,9 +81,9 @@
             work_hint: None,
             key: None,
             client_retry: false,
-            body_coming: false,
+            body_incomplete: false,
             write: false,
-            earlier: None,
+            earlier_attempt: None,
         })
     }
 }
@@ -104,17 +105,17 @@
     pub key: Option<u64>,
     /// The client says this is a repeat.
     pub client_retry: bool,
-    /// Its body is long and still comes: its time begins to run with [`Event::BodyWhole`].
-    pub body_coming: bool,
+    /// Its body is long and still comes: its time begins to run with [`Event::BodyComplete`].
+    pub body_incomplete: bool,
     /// It writes.
     pub write: bool,
     /// Where the same job may have run already, by another process or for another request.
-    pub earlier: Option<Earlier>,
+    pub earlier_attempt: Option<EarlierAttempt>,
 }
 
 /// A send of a keyed job that may have run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Earlier {
+pub struct EarlierAttempt {
     /// The zone that it went to.
     pub zone: ZoneId,
     /// The cell that it went to.
@@ -150,7 +151,7 @@
     /// The endpoint answered with an error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection came up.
@@ -163,12 +164,12 @@
     /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::LocalFault | Outcome::Moot)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::LocalFault | Outcome::NotSent)
     }
 }
--- a/crates/balance/src/types/ids.rs
+++ b/crates/balance/src/types/ids.rs
@@ -26,7 +26,7 @@
 pub struct CellId(pub u64);
 /// A machine kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct KindId(pub u32);
+pub struct MachineKindId(pub u32);
 /// Names a timer of the balancer's own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TimerToken(pub u64);
--- a/crates/balance/src/zones.rs
+++ b/crates/balance/src/zones.rs
@@ -1,6 +1,6 @@
 //! What may go into zones, as is decided elsewhere: by a fleet, or by nobody. Holds it and counts, and decides nothing.
 
-use crate::types::{ZoneId, ZoneRight};
+use crate::types::{ZoneAdmission, ZoneId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Copy)]
 struct Held {
-    right: ZoneRight,
+    right: ZoneAdmission,
     /// Calls that its rate allows as of `at`.
     tokens: f64,
     at: Duration,
@@ -27,16 +27,18 @@
     pub(crate) fn set(
         &mut self,
         now: Duration,
-        rights: Vec<(ZoneId, ZoneRight)>,
+        rights: Vec<(ZoneId, ZoneAdmission)>,
         first: f64,
     ) -> Vec<ZoneId> {
         let before = std::mem::take(&mut self.0);
         let mut dark = Vec::new();
-        for (zone, right) in rights.into_iter().filter(|(_, right)| *right != ZoneRight::Open) {
+        for (zone, right) in rights.into_iter().filter(|(_, right)| *right != ZoneAdmission::Open) {
             let known = before.get(&zone);
-            let saved = known.filter(|held| matches!(held.right, ZoneRight::Rate { .. }));
+            let saved = known.filter(|held| matches!(held.right, ZoneAdmission::Rate { .. }));
             let tokens = saved.map_or(first, |held| held.tokens(now));
-            if right == ZoneRight::Dark && known.is_none_or(|held| held.right != ZoneRight::Dark) {
+            if right == ZoneAdmission::Unreachable
+                && known.is_none_or(|held| held.right != ZoneAdmission::Unreachable)
+            {
                 dark.push(zone);
             }
             self.0.insert(zone, Held { right, tokens, at: now });
@@ -46,18 +48,20 @@
 
     /// Whether anything at all may go there, now or later.
     pub(crate) fn is_open(&self, zone: ZoneId) -> bool {
-        self.0.get(&zone).is_none_or(|held| !matches!(held.right, ZoneRight::Closed | ZoneRight::Dark))
+        self.0
+            .get(&zone)
+            .is_none_or(|held| !matches!(held.right, ZoneAdmission::Closed | ZoneAdmission::Unreachable))
     }
 
     /// Whether one more call may go there now, for a request that came then.
     pub(crate) fn may(&self, now: Duration, zone: ZoneId, came: Duration) -> bool {
         let Some(held) = self.0.get(&zone) else { return true };
         match held.right {
-            ZoneRight::Open => true,
+            ZoneAdmission::Open => true,
             // The same for each attempt of a request, and evenly spread over requests.
-            ZoneRight::Part(part) => (came.as_nanos() as f64 * GOLDEN).fract() < part,
-            ZoneRight::Rate { until, .. } => now < until && held.tokens(now) >= 1.0,
-            ZoneRight::Closed | ZoneRight::Dark => false,
+            ZoneAdmission::Fraction(part) => (came.as_nanos() as f64 * GOLDEN).fract() < part,
+            ZoneAdmission::Rate { until, .. } => now < until && held.tokens(now) >= 1.0,
+            ZoneAdmission::Closed | ZoneAdmission::Unreachable => false,
         }
     }
 
@@ -71,7 +75,7 @@
 
 impl Held {
     fn tokens(&self, now: Duration) -> f64 {
-        let ZoneRight::Rate { per_s, until } = self.right else { return self.tokens };
+        let ZoneAdmission::Rate { per_s, until } = self.right else { return self.tokens };
         let since = now.min(until).saturating_sub(self.at).as_secs_f64();
         (self.tokens + per_s * since).min((per_s * SAVES_S).max(1.0))
     }
@@ -86,7 +90,7 @@
     #[test]
     fn a_rate_lets_so_many_go_and_none_once_it_has_ended() {
         let (mut zones, zone) = (Zones::default(), ZoneId(1));
-        let rate = |until| vec![(zone, ZoneRight::Rate { per_s: 10.0, until })];
+        let rate = |until| vec![(zone, ZoneAdmission::Rate { per_s: 10.0, until })];
         zones.set(S * 100, rate(S * 103), 0.0);
         let mut sent = 0;
         for ms in 0..5_000 {
@@ -108,14 +112,14 @@
     fn a_part_is_a_part_of_the_requests_and_dark_is_told_once() {
         let (mut zones, zone) = (Zones::default(), ZoneId(2));
         assert!(zones.may(S, zone, S), "what nothing is said of is open");
-        zones.set(S, vec![(zone, ZoneRight::Part(0.25))], 0.5);
+        zones.set(S, vec![(zone, ZoneAdmission::Fraction(0.25))], 0.5);
         let may = (0..10_000).filter(|n| zones.may(S, zone, Duration::from_micros(n * 137))).count();
         assert!((2400..2600).contains(&may), "{may}");
-        let dark = || vec![(zone, ZoneRight::Dark), (ZoneId(3), ZoneRight::Closed)];
+        let dark = || vec![(zone, ZoneAdmission::Unreachable), (ZoneId(3), ZoneAdmission::Closed)];
         assert_eq!(zones.set(S, dark(), 0.5), [zone]);
         assert!(zones.set(S, dark(), 0.5).is_empty());
         assert!(!zones.is_open(zone) && !zones.may(S, ZoneId(3), S) && zones.is_open(ZoneId(4)));
-        zones.set(S, vec![(zone, ZoneRight::Open)], 0.5);
+        zones.set(S, vec![(zone, ZoneAdmission::Open)], 0.5);
         assert!(zones.may(S, zone, S) && zones.is_open(ZoneId(3)));
     }
 }
--- a/crates/balance/tests/bans.rs
+++ b/crates/balance/tests/bans.rs
@@ -7,7 +7,7 @@
 const OUT: EndpointId = EndpointId(1);
 
 fn ban(d: &mut Driver, on: bool) -> Vec<Action> {
-    d.feed(Event::Ban { endpoint: OUT, on })
+    d.feed(Event::Ban { endpoint: OUT, banned: on })
 }
 
 /// How many of so many requests, each ended before the next begins, went to that endpoint.
@@ -78,9 +78,9 @@
     list[2].state = EndpointState::Draining;
     let mut actions = Vec::new();
     balancer.handle(ms(0), Event::Membership(Membership::Full(list)), &mut actions);
-    assert_eq!(balancer.avoided(ms(0)), 1, "one is draining");
-    balancer.handle(ms(1), Event::Ban { endpoint: OUT, on: true }, &mut actions);
-    assert_eq!(balancer.avoided(ms(1)), 2);
-    balancer.handle(ms(2), Event::Ban { endpoint: OUT, on: false }, &mut actions);
-    assert_eq!(balancer.avoided(ms(2)), 1);
+    assert_eq!(balancer.avoided_endpoints(ms(0)), 1, "one is draining");
+    balancer.handle(ms(1), Event::Ban { endpoint: OUT, banned: true }, &mut actions);
+    assert_eq!(balancer.avoided_endpoints(ms(1)), 2);
+    balancer.handle(ms(2), Event::Ban { endpoint: OUT, banned: false }, &mut actions);
+    assert_eq!(balancer.avoided_endpoints(ms(2)), 1);
 }
--- a/crates/balance/tests/bodies.rs
+++ b/crates/balance/tests/bodies.rs
@@ -8,7 +8,7 @@
 fn coming(d: &mut Driver, id: u64) -> RequestId {
     let id = RequestId(id);
     let Event::Request(request) = Event::request(id, ms(600_000)) else { unreachable!() };
-    let actions = d.feed(Event::Request(Request { body_coming: true, ..request }));
+    let actions = d.feed(Event::Request(Request { body_incomplete: true, ..request }));
     assert_eq!(sends(&actions).len(), 1);
     id
 }
@@ -18,7 +18,7 @@
     let mut d = Driver::new(Settings::default(), endpoints(2));
     let id = coming(&mut d, 900);
     assert!(d.advance(ms(30_000)).is_empty(), "neither late nor overdue while it comes");
-    d.feed(Event::BodyWhole { request: id, time_left: ms(300) });
+    d.feed(Event::BodyComplete { request: id, time_left: ms(300) });
     assert!(!refused(&d.advance(ms(290)), id));
     assert!(refused(&d.advance(ms(20)), id), "its class is safe to repeat");
 }
@@ -29,7 +29,7 @@
         let mut d = Driver::new(Settings::default(), endpoints(3));
         let id = coming(&mut d, 900);
         if flows {
-            d.feed(Event::BodyFlows(id));
+            d.feed(Event::BodyNotReplayable(id));
         }
         let actions = d.end(id, Outcome::ConnectFailed, ms(5));
         assert_eq!(sends(&actions).len(), usize::from(!flows));
@@ -43,7 +43,7 @@
     let mut d = Driver::new(Settings { balancers: 4, ..Settings::default() }, endpoints(4));
     let bodies: Vec<RequestId> = (0..6).map(|n| coming(&mut d, 900 + n)).collect();
     for id in &bodies {
-        d.feed(Event::BodyWhole { request: *id, time_left: ms(2000) });
+        d.feed(Event::BodyComplete { request: *id, time_left: ms(2000) });
     }
     for id in bodies {
         d.end(id, Outcome::Ok, ms(20));
--- a/crates/balance/tests/cold.rs
+++ b/crates/balance/tests/cold.rs
@@ -193,7 +193,7 @@
                 What::Learns(p) => {
                     self.told[p] = true;
                     if self.fleet.by_hand {
-                        self.feed(now, p, Event::Ban { endpoint: EndpointId(COLD), on: false });
+                        self.feed(now, p, Event::Ban { endpoint: EndpointId(COLD), banned: false });
                     } else {
                         let mut cold = self.list();
                         cold.truncate(self.fleet.cold as usize);
@@ -222,7 +222,7 @@
     if world.fleet.by_hand {
         world.until(start - ms(5_000), &mut tries);
         for p in 0..processes {
-            world.feed(start - ms(5_000), p, Event::Ban { endpoint: EndpointId(COLD), on: true });
+            world.feed(start - ms(5_000), p, Event::Ban { endpoint: EndpointId(COLD), banned: true });
         }
     }
     world.until(start, &mut tries);
--- a/crates/balance/tests/contract.rs
+++ b/crates/balance/tests/contract.rs
@@ -15,7 +15,7 @@
     d.end(second, Outcome::Ok, ms(1));
     d.now += ms(50);
     d.end(id, Outcome::Ok, ms(10));
-    assert_eq!(d.balancer.remembered(), 3, "the list alone");
+    assert_eq!(d.balancer.tracked_items(), 3, "the list alone");
 }
 
 #[test]
@@ -50,7 +50,7 @@
     };
     for event in [
         Event::AttemptEnded(ended),
-        Event::RequestGone(RequestId(999)),
+        Event::RequestAbandoned(RequestId(999)),
         Event::Timer(TimerToken(u64::MAX)),
         Event::StreamStarted { request: RequestId(999), attempt: AttemptNo(0) },
         Event::ProbeEnded {
@@ -70,7 +70,7 @@
     let mut d = Driver::new(Settings::default(), endpoints(2));
     let (id, _) = d.request(ms(500));
     d.end(id, Outcome::Ok, ms(5));
-    assert!(d.feed(Event::RequestGone(id)).is_empty());
+    assert!(d.feed(Event::RequestAbandoned(id)).is_empty());
     assert!(d.feed(Event::StreamStarted { request: id, attempt: AttemptNo(0) }).is_empty());
     assert!(d.advance(ms(600)).is_empty(), "its deadline passes in silence");
 }
@@ -85,12 +85,12 @@
 #[test]
 fn timers_of_a_finished_request_go_with_it() {
     let mut driver = Driver::new(with_class(Semantics::Safe), endpoints(3));
-    let before = driver.balancer.remembered();
+    let before = driver.balancer.tracked_items();
     let (mut set, mut dropped) = (0, 0);
     let mut note = |actions: &[Action]| {
         for action in actions {
             set += usize::from(matches!(action, Action::SetTimer { .. }));
-            dropped += usize::from(matches!(action, Action::DropTimer { .. }));
+            dropped += usize::from(matches!(action, Action::CancelTimer { .. }));
         }
         set - dropped
     };
@@ -98,7 +98,7 @@
         let (id, actions) = driver.request(ms(60_000));
         assert!(note(&actions) > 0, "its deadline, and later when an answer is overdue");
         assert_eq!(note(&driver.end(id, Outcome::Ok, ms(5))), 0);
-        assert_eq!(driver.balancer.remembered(), before);
+        assert_eq!(driver.balancer.tracked_items(), before);
     }
 }
 
--- a/crates/balance/tests/discovery.rs
+++ b/crates/balance/tests/discovery.rs
@@ -64,7 +64,7 @@
     let sent = |news: Membership| {
         let mut d = Driver::new(Settings::default(), endpoints(3));
         d.list(news);
-        let full = |id| if id == EndpointId(2) { Outcome::Full } else { Outcome::Ok };
+        let full = |id| if id == EndpointId(2) { Outcome::Rejected } else { Outcome::Ok };
         rounds(&mut d, 200, |id| (full(id), 40)).get(&EndpointId(2)).copied().unwrap_or(0)
     };
     assert!(sent(Membership::Delta(Vec::new())) > 2, "where the list is known it is no more than full");
--- a/crates/balance/tests/failures.rs
+++ b/crates/balance/tests/failures.rs
@@ -87,7 +87,7 @@
         for id in late {
             d.end(id, Outcome::TimedOut, ms(300));
         }
-        sizes.push(d.balancer.remembered());
+        sizes.push(d.balancer.tracked_items());
     }
     assert!(sizes.iter().all(|size| *size <= 4), "after each round only the list is left: {sizes:?}");
 }
@@ -155,7 +155,7 @@
         }
     }
     d.advance(ms(2000));
-    assert!(d.balancer.remembered() <= 4);
+    assert!(d.balancer.tracked_items() <= 4);
 }
 
 #[test]
--- a/crates/balance/tests/local_faults.rs
+++ b/crates/balance/tests/local_faults.rs
@@ -37,7 +37,7 @@
     for seed in 0..20 {
         let mut d = Driver::seeded(Settings::default(), endpoints(4), seed);
         rounds(&mut d, 50, where_bad(the_first, Outcome::LocalFault, 0));
-        assert_eq!(d.balancer.avoided(d.now), 0, "seed {seed}");
+        assert_eq!(d.balancer.avoided_endpoints(d.now), 0, "seed {seed}");
         let counts = rounds(&mut d, 100, |_| (Outcome::Ok, 20));
         assert!(sent_to(&counts, the_first) > 10, "seed {seed}: {counts:?}");
     }
--- a/crates/balance/tests/properties.rs
+++ b/crates/balance/tests/properties.rs
@@ -39,12 +39,12 @@
     match n {
         0 | 1 => Outcome::Ok,
         2 => Outcome::Error,
-        3 => Outcome::Full,
+        3 => Outcome::Rejected,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
         7 => Outcome::LocalFault,
-        _ => Outcome::Moot,
+        _ => Outcome::NotSent,
     }
 }
 
@@ -59,8 +59,8 @@
         classes: vec![
             class(Semantics::Safe),
             class(Semantics::Unsafe),
-            class(Semantics::Keyed { group: Group::Cell, window }),
-            class(Semantics::Keyed { group: Group::All, window }),
+            class(Semantics::Keyed { group: DeduplicationScope::Cell, window }),
+            class(Semantics::Keyed { group: DeduplicationScope::All, window }),
         ],
         tenants: vec![Tenant { allowance_per_s: 5.0, portion: 0.3 }; 3],
         over_share_worth: 0.1,
@@ -97,7 +97,7 @@
             Step::Gone(which) => {
                 if !d.out.is_empty() {
                     let id = d.out[which % d.out.len()].0;
-                    d.feed(Event::RequestGone(id));
+                    d.feed(Event::RequestAbandoned(id));
                 }
             }
             Step::Change { id, state, fresh } => {
@@ -114,7 +114,7 @@
             }
             Step::Stray(n) => {
                 d.feed(Event::Timer(TimerToken(n)));
-                d.feed(Event::RequestGone(RequestId(n | 1 << 40)));
+                d.feed(Event::RequestAbandoned(RequestId(n | 1 << 40)));
                 d.feed(Event::PeerMessage { from: 1, payload: vec![1] });
             }
         }
--- a/crates/balance/tests/rules.rs
+++ b/crates/balance/tests/rules.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 use support::*;
 
-const KEYED_CELL: Semantics = Semantics::Keyed { group: Group::Cell, window: Duration::from_millis(400) };
+const KEYED_CELL: Semantics =
+    Semantics::Keyed { group: DeduplicationScope::Cell, window: Duration::from_millis(400) };
 
 #[test]
 fn rule_1_a_request_nobody_can_take_is_answered_in_time() {
@@ -28,14 +29,14 @@
 fn rule_1_nothing_is_sent_for_a_finished_request() {
     let mut d = Driver::new(Settings::default(), endpoints(3));
     let (id, _) = d.request(ms(300));
-    d.feed(Event::RequestGone(id));
+    d.feed(Event::RequestAbandoned(id));
     assert!(sends(&d.end(id, Outcome::Cancelled, ms(1))).is_empty());
     assert!(sends(&d.advance(ms(400))).is_empty());
 }
 
 #[test]
 fn rule_2_unsafe_is_sent_again_only_if_it_never_ran() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed, Outcome::LocalFault] {
+    for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::LocalFault] {
         let mut d = Driver::new(with_class(Semantics::Unsafe), endpoints(3));
         let (id, _) = d.request(ms(900));
         assert_eq!(sends(&d.end(id, outcome, ms(1))).len(), 1, "{outcome:?} proves that it never ran");
@@ -68,7 +69,7 @@
     let list: Vec<EndpointInfo> =
         (1..=6).map(|id| EndpointInfo { zone: ZoneId((id % 2) as u32), ..endpoint(id) }).collect();
     for seed in 0..20 {
-        let keyed = Semantics::Keyed { group: Group::Zone, window: ms(5000) };
+        let keyed = Semantics::Keyed { group: DeduplicationScope::Zone, window: ms(5000) };
         let mut d = Driver::seeded(with_class(keyed), list.clone(), seed);
         let (id, first) = d.request(ms(900));
         let again = d.end(id, Outcome::Reset, ms(5));
@@ -202,18 +203,18 @@
 
 #[test]
 fn rule_2_a_job_that_may_have_run_before_goes_to_where_it_ran_or_nowhere() {
-    let zoned = Semantics::Keyed { group: Group::Zone, window: ms(400) };
+    let zoned = Semantics::Keyed { group: DeduplicationScope::Zone, window: ms(400) };
     let list: Vec<EndpointInfo> =
         (1..=6).map(|id| EndpointInfo { zone: ZoneId(id as u32 % 2), ..endpoint(id) }).collect();
     for seed in 0..20 {
         let mut d = Driver::seeded(Settings { zones: 2, ..with_class(zoned) }, list.clone(), seed);
         let Event::Request(request) = Event::request(RequestId(900), ms(300)) else { return };
-        let earlier = |zone| Some(Earlier { zone: ZoneId(zone), cell: CellId(0), sent: d.now });
+        let earlier = |zone| Some(EarlierAttempt { zone: ZoneId(zone), cell: CellId(0), sent: d.now });
         let (odd, nowhere) = (earlier(1), earlier(7));
-        let sent = d.feed(Event::Request(Request { earlier: odd, ..request.clone() }));
+        let sent = d.feed(Event::Request(Request { earlier_attempt: odd, ..request.clone() }));
         assert_eq!(sends(&sent)[0].0 % 2, 1, "not to its own zone, where nobody knows the key");
         let lost = RequestId(901);
-        let held = d.feed(Event::Request(Request { id: lost, earlier: nowhere, ..request }));
+        let held = d.feed(Event::Request(Request { id: lost, earlier_attempt: nowhere, ..request }));
         assert!(sends(&held).is_empty());
         assert!(
             failed(&d.advance(ms(305)), lost),
--- a/crates/balance/tests/support/mod.rs
+++ b/crates/balance/tests/support/mod.rs
@@ -91,7 +91,7 @@
                     }
                 }
             }
-            Event::RequestGone(id) => {
+            Event::RequestAbandoned(id) => {
                 if let Some(owed) = self.owed.get_mut(id) {
                     owed.answered = true;
                 }
@@ -120,7 +120,7 @@
                     assert!(!owed.answered, "rule 1: a second final answer");
                     let ran = owed.sent.iter().any(|s| s.outcome.is_none_or(|o| !o.never_ran()));
                     match self.settings.classes[owed.class].semantics {
-                        Semantics::Safe | Semantics::Keyed { group: Group::All, .. } => {}
+                        Semantics::Safe | Semantics::Keyed { group: DeduplicationScope::All, .. } => {}
                         _ => assert!(!ran, "rule 2: refused though it may have run"),
                     }
                     owed.answered = true;
@@ -161,9 +161,13 @@
                 Semantics::Keyed { group, window } => {
                     assert!(now <= earlier.at + window, "rule 2: sent again after the window");
                     match group {
-                        Group::All => {}
-                        Group::Zone => assert_eq!(earlier.zone, info.zone, "rule 2: left the zone"),
-                        Group::Cell => assert_eq!(earlier.cell, info.cell, "rule 2: left the cell"),
+                        DeduplicationScope::All => {}
+                        DeduplicationScope::Zone => {
+                            assert_eq!(earlier.zone, info.zone, "rule 2: left the zone")
+                        }
+                        DeduplicationScope::Cell => {
+                            assert_eq!(earlier.cell, info.cell, "rule 2: left the cell")
+                        }
                     }
                 }
             }
@@ -221,7 +225,7 @@
         for action in &actions {
             match action {
                 Action::SetTimer { token, after } => self.timers.push((self.now + *after, *token)),
-                Action::DropTimer { token } => self.timers.retain(|timer| timer.1 != *token),
+                Action::CancelTimer { token } => self.timers.retain(|timer| timer.1 != *token),
                 Action::Send { request, endpoint, timeout } => {
                     let number = self.attempts.entry(*request).or_default();
                     self.out.push((*request, AttemptNo(*number), *endpoint, self.now + *timeout));
--- a/crates/balance/tests/windows.rs
+++ b/crates/balance/tests/windows.rs
@@ -135,7 +135,7 @@
         for _ in 0..60 {
             d.fill();
             let id = d.out[0].0;
-            d.feed(Event::RequestGone(id));
+            d.feed(Event::RequestAbandoned(id));
             d.end(id, Outcome::Cancelled, ms(left_after));
         }
         d.fill();
--- a/crates/balance/tests/zones.rs
+++ b/crates/balance/tests/zones.rs
@@ -15,13 +15,13 @@
     ZoneId((id.0 % 3) as u32)
 }
 
-fn rights(right: ZoneRight) -> Event {
+fn rights(right: ZoneAdmission) -> Event {
     Event::Zones(vec![(ZoneId(0), right)])
 }
 
 #[test]
 fn nothing_goes_into_a_zone_that_is_closed_and_all_of_it_goes_elsewhere() {
-    for right in [ZoneRight::Closed, ZoneRight::Dark] {
+    for right in [ZoneAdmission::Closed, ZoneAdmission::Unreachable] {
         let mut driver = driver(Semantics::Safe);
         driver.feed(rights(right));
         for _ in 0..50 {
@@ -49,7 +49,7 @@
             driver.advance(ms(5));
         }
         if closed {
-            driver.feed(rights(ZoneRight::Closed));
+            driver.feed(rights(ZoneAdmission::Closed));
         }
         (0..20).map(|_| sends(&driver.request(ms(2000)).1).len()).sum::<usize>()
     };
@@ -59,11 +59,11 @@
 
 #[test]
 fn what_is_out_to_a_dark_zone_goes_on_as_its_class_permits() {
-    let keyed = Semantics::Keyed { group: Group::Zone, window: ms(6000) };
+    let keyed = Semantics::Keyed { group: DeduplicationScope::Zone, window: ms(6000) };
     // What may run again goes elsewhere; what is dropped as a repeat in its zone alone, or may never run again, fails at once.
     let cases = [(Semantics::Safe, true), (keyed, false), (Semantics::Unsafe, false)];
     for (semantics, goes_on) in cases {
-        for right in [ZoneRight::Dark, ZoneRight::Closed] {
+        for right in [ZoneAdmission::Unreachable, ZoneAdmission::Closed] {
             let mut driver = driver(semantics);
             let (id, actions) = driver.request(ms(2000));
             assert_eq!(zone_of(sends(&actions)[0]), ZoneId(0));
@@ -71,7 +71,7 @@
             let cancelled =
                 actions.iter().any(|a| matches!(a, Action::Cancel { request, .. } if *request == id));
             // A zone that is only closed, as it is drained, finishes what it has.
-            assert_eq!(cancelled, right == ZoneRight::Dark, "{semantics:?} {right:?}");
+            assert_eq!(cancelled, right == ZoneAdmission::Unreachable, "{semantics:?} {right:?}");
             if !cancelled {
                 continue;
             }
@@ -89,9 +89,9 @@
 
 #[test]
 fn a_keyed_request_that_could_not_connect_to_its_zone_goes_elsewhere() {
-    let mut driver = driver(Semantics::Keyed { group: Group::Zone, window: ms(6000) });
+    let mut driver = driver(Semantics::Keyed { group: DeduplicationScope::Zone, window: ms(6000) });
     let (id, _) = driver.request(ms(2000));
-    driver.feed(rights(ZoneRight::Dark));
+    driver.feed(rights(ZoneAdmission::Unreachable));
     let actions = driver.end(id, Outcome::ConnectFailed, ms(5));
     assert!(sends(&actions).iter().any(|to| zone_of(*to) != ZoneId(0)), "it never ran: {actions:?}");
 }
@@ -100,7 +100,7 @@
 fn so_many_a_second_go_into_a_zone_that_returns_and_none_once_that_has_ended() {
     let mut driver = driver(Semantics::Safe);
     let until = driver.now + Duration::from_secs(3);
-    driver.feed(rights(ZoneRight::Rate { per_s: 5.0, until }));
+    driver.feed(rights(ZoneAdmission::Rate { per_s: 5.0, until }));
     let mut there = [0, 0];
     for n in 0..500 {
         let (id, actions) = driver.request(ms(2000));
@@ -117,7 +117,7 @@
 #[test]
 fn a_part_of_the_requests_may_go() {
     let mut driver = driver(Semantics::Safe);
-    driver.feed(rights(ZoneRight::Part(0.25)));
+    driver.feed(rights(ZoneAdmission::Fraction(0.25)));
     let mut there = 0;
     for _ in 0..800 {
         let (id, actions) = driver.request(ms(2000));
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -10,8 +10,8 @@
 use crate::repeat::Repeat;
 use crate::units::{Size, Span};
 use curlewhub_balance::{
-    Class, Costs, Discovery, Goal, Group, Limits, LoadReports, ReportVia, Rules, Semantics, Settings,
-    SettingsError, Tenant, WeightKind, ZoneId,
+    Class, Costs, DeduplicationScope, Discovery, Goal, Limits, LoadReports, ReportVia, Rules, Semantics,
+    Settings, SettingsError, Tenant, WeightKind, ZoneId,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::HashSet;
@@ -287,9 +287,9 @@
                 }
                 Semantics::Keyed {
                     group: match group {
-                        RepeatGroup::All => Group::All,
-                        RepeatGroup::Zone => Group::Zone,
-                        RepeatGroup::Group => Group::Cell,
+                        RepeatGroup::All => DeduplicationScope::All,
+                        RepeatGroup::Zone => DeduplicationScope::Zone,
+                        RepeatGroup::Group => DeduplicationScope::Cell,
                     },
                     window: window.unwrap_or_default().0,
                 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -280,9 +280,9 @@
                 ConfSemantics::Unsafe => Semantics::Unsafe,
                 ConfSemantics::Keyed => Semantics::Keyed {
                     group: match class.group {
-                        ConfGroup::All => Group::All,
-                        ConfGroup::Zone => Group::Zone,
-                        ConfGroup::Cell => Group::Cell,
+                        ConfGroup::All => DeduplicationScope::All,
+                        ConfGroup::Zone => DeduplicationScope::Zone,
+                        ConfGroup::Cell => DeduplicationScope::Cell,
                     },
                     window: time("classes.repeatWindowMs", class.repeat_window_ms)?,
                 },
--- a/crates/config/tests/file.rs
+++ b/crates/config/tests/file.rs
@@ -1,6 +1,6 @@
 //! The operators' file: what it is turned into, and what is said of a wrong one.
 
-use curlewhub_balance::{Discovery, Group, Semantics, ZoneId};
+use curlewhub_balance::{DeduplicationScope, Discovery, Semantics, ZoneId};
 use curlewhub_config::list::State;
 use curlewhub_config::{Config, Effective, Loaded, LogFormat, Override, Problems, file};
 use proptest::prelude::*;
@@ -36,7 +36,7 @@
     let (config, effective) = parse(file::EXAMPLE).unwrap();
     assert_eq!((config.name.as_str(), config.memory_mb, config.sockets), ("shop", 192, 1024));
     assert_eq!((config.settings.zone, config.settings.zones), (ZoneId(0), 3));
-    let (group, window) = (Group::Zone, Duration::from_secs(6));
+    let (group, window) = (DeduplicationScope::Zone, Duration::from_secs(6));
     assert_eq!(config.settings.classes[1].semantics, Semantics::Keyed { group, window });
     assert_eq!(config.settings.discovery, Discovery::Push);
     // Each line that is commented out with a value states the default that holds without it.
--- a/crates/curlewhub/src/member.rs
+++ b/crates/curlewhub/src/member.rs
@@ -3,7 +3,7 @@
 
 use crate::fleet::AppliedViewLog;
 use crate::reload::Reloader;
-use curlewhub_balance::{ClassId, Outcome, ZoneId, ZoneRight};
+use curlewhub_balance::{ClassId, Outcome, ZoneAdmission, ZoneId};
 use curlewhub_config::Config;
 use curlewhub_control_plane::applied::AppliedRecords;
 use curlewhub_control_plane::configuration::SettingValues;
@@ -55,9 +55,9 @@
             Outcome::Ok => CallOutcome::Served,
             Outcome::TimedOut => CallOutcome::TimedOut,
             Outcome::ConnectFailed | Outcome::Reset => CallOutcome::Unreachable,
-            Outcome::Full => CallOutcome::Rejected,
+            Outcome::Rejected => CallOutcome::Rejected,
             Outcome::Error => CallOutcome::Failed,
-            Outcome::Cancelled | Outcome::Moot | Outcome::LocalFault => CallOutcome::Cancelled,
+            Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFault => CallOutcome::Cancelled,
         };
         self.recorder.borrow_mut().call_finished(call_id(attempt), outcome, elapsed);
     }
@@ -98,16 +98,16 @@
     }
 
     /// The access to a zone as the balancer takes it. `now` is the time on the clock of the decision.
-    fn zone_right(&self, now: Duration, access: ZoneAccess) -> ZoneRight {
+    fn zone_right(&self, now: Duration, access: ZoneAccess) -> ZoneAdmission {
         match access {
-            ZoneAccess::Open => ZoneRight::Open,
-            ZoneAccess::Share(share) => ZoneRight::Part(share),
+            ZoneAccess::Open => ZoneAdmission::Open,
+            ZoneAccess::Share(share) => ZoneAdmission::Fraction(share),
             // The same instant on the balancer's clock; both are monotonic.
             ZoneAccess::Rate(per_s, until) => {
-                ZoneRight::Rate { per_s, until: self.clock.now() + until.saturating_sub(now) }
+                ZoneAdmission::Rate { per_s, until: self.clock.now() + until.saturating_sub(now) }
             }
-            ZoneAccess::Closed => ZoneRight::Closed,
-            ZoneAccess::Unreachable => ZoneRight::Dark,
+            ZoneAccess::Closed => ZoneAdmission::Closed,
+            ZoneAccess::Unreachable => ZoneAdmission::Unreachable,
         }
     }
 
--- a/crates/discovery-client/src/backoff.rs
+++ b/crates/discovery-client/src/backoff.rs
@@ -1,7 +1,7 @@
 //! Waits between calls that fail.
 
 use crate::timing::{MAX_SPREAD, MAX_WAIT};
-use curlewhub_balance::{RefusalCause, refused_wait};
+use curlewhub_balance::{RefusalCause, refusal_retry_delay};
 use std::time::Duration;
 
 /// Wait before the first call after a failure, counted from the start of the one that failed; doubles with each.
@@ -29,7 +29,7 @@
     /// The wait behind a call that discovery refused after it took so long, by a draw from 0 to 1: too many call, and
     /// each further call takes another caller's turn.
     pub fn refused(&mut self, cause: RefusalCause, took: Duration, draw: f64) -> Duration {
-        let wait = refused_wait(self.refusals, cause, took, draw);
+        let wait = refusal_retry_delay(self.refusals, cause, took, draw);
         self.refusals = self.refusals.saturating_add(1);
         self.failures = self.failures.saturating_add(1);
         wait
--- a/crates/lab/src/capacity/measure/depth.rs
+++ b/crates/lab/src/capacity/measure/depth.rs
@@ -69,7 +69,7 @@
                 None => {}
             }
         }
-        self.feed(level, Event::RequestGone(id), id, &mut progress);
+        self.feed(level, Event::RequestAbandoned(id), id, &mut progress);
     }
 
     fn attempt(
@@ -128,7 +128,7 @@
                 Action::SetTimer { token, after } => {
                     level.timers.insert((now + after, token.0), token);
                 }
-                Action::DropTimer { token } => level.timers.retain(|_, set| *set != token),
+                Action::CancelTimer { token } => level.timers.retain(|_, set| *set != token),
                 _ => {}
             }
         }
--- a/crates/lab/src/discovery_load.rs
+++ b/crates/lab/src/discovery_load.rs
@@ -2,7 +2,7 @@
 //! its sidecars wait behind calls that failed.
 
 use comfy_table::{Table, presets};
-use curlewhub_balance::{RefusalCause, refused_wait};
+use curlewhub_balance::{RefusalCause, refusal_retry_delay};
 use curlewhub_discovery_client::timing::{CALL_TIMEOUT, MAX_SPREAD, SECOND_CALL_AFTER};
 use curlewhub_model::discovery_load::{
     Callers, Discovery, Failures, Outage, Recovery, RetryWait, recover_from,
@@ -84,7 +84,7 @@
 
 fn by_refusal(failures: Failures, draw: f64) -> Duration {
     match failures.refused {
-        true => refused_wait(failures.before, RefusalCause::Unknown, failures.took, draw),
+        true => refusal_retry_delay(failures.before, RefusalCause::Unknown, failures.took, draw),
         // All calls that fail otherwise are given up here, after they took all of their time.
         false => MAX_SPREAD.mul_f64(draw),
     }
--- a/crates/model/src/baselines.rs
+++ b/crates/model/src/baselines.rs
@@ -3,8 +3,8 @@
 //! once, as often as the class and the scenario allow: what a class permits is said by [`Semantics`] alone.
 
 use curlewhub_balance::{
-    Action, AttemptEnded, Class, Earlier, EndpointId, EndpointInfo, EndpointState, Event, Membership,
-    Outcome, Request, RequestId, Semantics, Settings, TimerToken,
+    Action, AttemptEnded, Class, EarlierAttempt, EndpointId, EndpointInfo, EndpointState, Event,
+    Membership, Outcome, Request, RequestId, Semantics, Settings, TimerToken,
 };
 use rand::Rng;
 use rand::seq::index::sample;
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy)]
 struct Tried {
     endpoint: EndpointId,
-    sent: Earlier,
+    sent: EarlierAttempt,
     out: bool,
     may_have_run: bool,
 }
@@ -88,13 +88,13 @@
     semantics: Semantics,
     deadline: Duration,
     /// Where its job may have run before it came here.
-    earlier: Option<Earlier>,
+    earlier: Option<EarlierAttempt>,
     tried: Vec<Tried>,
 }
 
 impl Asked {
     /// The sends that may have run, the first in front.
-    fn may_have_run(&self) -> impl Iterator<Item = Earlier> {
+    fn may_have_run(&self) -> impl Iterator<Item = EarlierAttempt> {
         let own = self.tried.iter().filter(|tried| tried.may_have_run).map(|tried| tried.sent);
         self.earlier.into_iter().chain(own)
     }
@@ -136,7 +136,7 @@
             Event::Membership(news) => self.listed(news, now),
             Event::Request(request) => self.asked(now, &request, truth, out),
             Event::AttemptEnded(ended) => self.ended(now, &ended, truth, out),
-            Event::RequestGone(id) => self.forget(id, out),
+            Event::RequestAbandoned(id) => self.forget(id, out),
             Event::Timer(token) => {
                 let id = RequestId(token.0);
                 if self.requests.contains_key(&id) {
@@ -176,7 +176,7 @@
         let (id, after) = (request.id, request.time_left);
         let (semantics, deadline) = (self.classes[request.class.0].semantics, now + after);
         self.requests
-            .insert(id, Asked { semantics, deadline, earlier: request.earlier, tried: Vec::new() });
+            .insert(id, Asked { semantics, deadline, earlier: request.earlier_attempt, tried: Vec::new() });
         out.push(Action::SetTimer { token: TimerToken(id.0), after });
         self.send(now, id, truth, out);
     }
@@ -187,7 +187,7 @@
         known.in_flight += 1;
         let (endpoint, zone, cell) = (known.info.id, known.info.zone, known.info.cell);
         let Some(asked) = self.requests.get_mut(&id) else { return };
-        let sent = Earlier { zone, cell, sent: now };
+        let sent = EarlierAttempt { zone, cell, sent: now };
         asked.tried.push(Tried { endpoint, sent, out: true, may_have_run: true });
         let timeout = asked.deadline.saturating_sub(now);
         out.push(Action::Send { request: id, endpoint, timeout });
@@ -198,7 +198,7 @@
             let known = &mut self.endpoints[i];
             known.in_flight = known.in_flight.saturating_sub(1);
             // A quick failure counts as a quick answer, as it does in tower.
-            if ended.outcome != Outcome::Moot {
+            if ended.outcome != Outcome::NotSent {
                 known.rtt.add(now, ended.elapsed.as_secs_f64());
             }
         }
@@ -211,7 +211,7 @@
         }
         let first = asked.may_have_run().next().map(|ran| ran.sent);
         let more = asked.tried.len() < self.max_attempts && asked.deadline > now;
-        if more && asked.semantics.may_repeat(now, first) {
+        if more && asked.semantics.may_retry(now, first) {
             self.send(now, ended.request, truth, out);
         } else {
             self.give_up(ended.request, out);
@@ -220,7 +220,7 @@
 
     fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(asked) = self.requests.get(&id) else { return };
-        let harmless = asked.semantics.is_harmless(asked.may_have_run().next().is_some());
+        let harmless = asked.semantics.client_may_retry(asked.may_have_run().next().is_some());
         self.forget(id, out);
         out.push(if harmless {
             Action::Refuse { request: id, retry_after: None }
@@ -231,7 +231,7 @@
 
     fn forget(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if self.requests.remove(&id).is_some() {
-            out.push(Action::DropTimer { token: TimerToken(id.0) });
+            out.push(Action::CancelTimer { token: TimerToken(id.0) });
         }
     }
 
@@ -247,7 +247,7 @@
         let fits = |i: &&usize| {
             let info = &self.endpoints[**i].info;
             let to = (info.zone, info.cell);
-            asked.may_have_run().all(|ran| asked.semantics.may_follow((ran.zone, ran.cell), to))
+            asked.may_have_run().all(|ran| asked.semantics.may_retry_at((ran.zone, ran.cell), to))
         };
         let fresh = |i: &&usize| asked.tried.iter().all(|t| t.endpoint != self.endpoints[**i].info.id);
         let mut left: Vec<usize> = self.ready.iter().filter(fits).filter(fresh).copied().collect();
--- a/crates/model/src/decider.rs
+++ b/crates/model/src/decider.rs
@@ -2,7 +2,7 @@
 
 use crate::baselines::{Decisions, Plain, Truth};
 use crate::clients::stream;
-use curlewhub_balance::{Action, Balancer, Event, Portion, Settings, Snapshot};
+use curlewhub_balance::{Action, Balancer, Event, Settings, ShareTransfer, Snapshot};
 use rand::RngCore;
 use std::time::Duration;
 
@@ -52,21 +52,26 @@
 
     pub(crate) fn holds_nothing(&mut self, now: Duration) {
         if let Decider::Module(module) = self {
-            module.holds_nothing(now);
+            module.begin_without_share(now);
         }
     }
 
-    pub(crate) fn gives(&mut self, now: Duration, share: f64) -> Option<Portion> {
+    pub(crate) fn gives(&mut self, now: Duration, share: f64) -> Option<ShareTransfer> {
         match self {
-            Decider::Module(module) => Some(module.gives(now, share)),
+            Decider::Module(module) => Some(module.release_share(now, share)),
             Decider::Plain(_) => None,
         }
     }
 
-    pub(crate) fn gains(&mut self, now: Duration, share: f64, portion: Option<&Portion>) -> Vec<Action> {
+    pub(crate) fn gains(
+        &mut self,
+        now: Duration,
+        share: f64,
+        portion: Option<&ShareTransfer>,
+    ) -> Vec<Action> {
         let mut out = Vec::new();
         if let Decider::Module(module) = self {
-            module.gains(now, share, portion, &mut out);
+            module.acquire_share(now, share, portion, &mut out);
         }
         out
     }
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -2,7 +2,7 @@
 
 use crate::baselines::Decisions;
 use crate::retry::RetrySpec;
-use curlewhub_balance::{Class, Group, Limits, Rules, Semantics, Settings, Tenant, ZoneId};
+use curlewhub_balance::{Class, DeduplicationScope, Limits, Rules, Semantics, Settings, Tenant, ZoneId};
 use curlewhub_config::Repeat;
 use curlewhub_config::fleet::ZoneFailoverConfig;
 use curlewhub_config::units::Span;
@@ -389,7 +389,9 @@
             deadline: class.deadline.0,
             semantics: match class.repeat {
                 Repeat::Safe => Semantics::Safe,
-                Repeat::Keyed => Semantics::Keyed { group: Group::Zone, window: class.window.0 },
+                Repeat::Keyed => {
+                    Semantics::Keyed { group: DeduplicationScope::Zone, window: class.window.0 }
+                }
                 Repeat::Never => Semantics::Unsafe,
             },
             late_value: class.late_value,
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -15,8 +15,8 @@
 use crate::slow_start::SlowStart;
 use crate::tally::{Outcome as Brought, Tally};
 use curlewhub_balance::{
-    Action, AttemptEnded, AttemptNo, CellId, ClassId, Earlier, EndpointId, EndpointInfo, Event, Membership,
-    Outcome, Request, RequestId, Snapshot, TenantId, TimerToken, ZoneId, ZoneRights,
+    Action, AttemptEnded, AttemptNo, CellId, ClassId, EarlierAttempt, EndpointId, EndpointInfo, Event,
+    Membership, Outcome, Request, RequestId, Snapshot, TenantId, TimerToken, ZoneAdmissions, ZoneId,
 };
 use curlewhub_config::Repeat;
 use curlewhub_keys::{Entry, Memory};
@@ -105,7 +105,7 @@
     /// The consensus servers and the sidecars' agents, if the scenario has them.
     control_plane: Option<control_plane::ControlPlane>,
     /// What each sidecar may send into zones, by what its fleet last said.
-    rights: Vec<ZoneRights>,
+    rights: Vec<ZoneAdmissions>,
     tally: Tally,
 }
 
@@ -128,7 +128,7 @@
             next_flight: 0,
             cuts: vec![(0, 0); scenario.zones.len()],
             control_plane: control_plane::fleet(scenario, seed),
-            rights: vec![ZoneRights::default(); scenario.sidecars as usize],
+            rights: vec![ZoneAdmissions::default(); scenario.sidecars as usize],
             tally: Tally::new(scenario),
         };
         world.furnish();
--- a/crates/model/src/world/callers.rs
+++ b/crates/model/src/world/callers.rs
@@ -49,7 +49,7 @@
         self.queue.plan(self.now + time, Ev::GivesUp { call: id, tries });
         let now = self.now;
         let known = self.memory(process).find(now, id).copied();
-        let earlier = known.map(|entry| Earlier {
+        let earlier = known.map(|entry| EarlierAttempt {
             zone: ZoneId(entry.zone),
             cell: CellId(entry.cell),
             sent: entry.sent,
@@ -62,9 +62,9 @@
             work_hint: None,
             key: None,
             client_retry: false,
-            body_coming: false,
+            body_incomplete: false,
             write: false,
-            earlier,
+            earlier_attempt: earlier,
         };
         self.module(process, Event::Request(request));
     }
@@ -76,7 +76,7 @@
         if let Some(open) = self.processes[process].open.get_mut(&request) {
             open.answered = true;
         }
-        self.module(process, Event::RequestGone(RequestId(request)));
+        self.module(process, Event::RequestAbandoned(RequestId(request)));
         self.processes[process].tidy(request);
         self.client_hears(id, End::Unanswered, None);
     }
--- a/crates/model/src/world/control_plane.rs
+++ b/crates/model/src/world/control_plane.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::scenario::FleetSpec;
-use curlewhub_balance::ZoneRight;
+use curlewhub_balance::ZoneAdmission;
 use curlewhub_control_plane::evidence::CallOutcome;
 use curlewhub_control_plane_model::{Delays, Evidence, Fleet, Network, SimulationSpec};
 use curlewhub_zone_failover::zone_policy::ZoneAccess;
@@ -95,9 +95,9 @@
             Outcome::Ok => CallOutcome::Served,
             Outcome::TimedOut => CallOutcome::TimedOut,
             Outcome::ConnectFailed | Outcome::Reset => CallOutcome::Unreachable,
-            Outcome::Full => CallOutcome::Rejected,
+            Outcome::Rejected => CallOutcome::Rejected,
             Outcome::Error => CallOutcome::Failed,
-            Outcome::Cancelled | Outcome::Moot | Outcome::LocalFault => CallOutcome::Cancelled,
+            Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFault => CallOutcome::Cancelled,
         };
         control_plane.fleet.call_finished(
             self.processes[process].sidecar,
@@ -118,7 +118,7 @@
         let rights = std::mem::take(&mut control_plane.fleet.access);
         let probes = std::mem::take(&mut control_plane.fleet.probes);
         for (sidecar, rights) in rights {
-            let rights: Vec<(ZoneId, ZoneRight)> =
+            let rights: Vec<(ZoneId, ZoneAdmission)> =
                 rights.into_iter().map(|(zone, right)| (ZoneId(zone as u32), zone_right(right))).collect();
             for process in self.sidecars[sidecar].clone() {
                 self.module(process, Event::Zones(rights.clone()));
@@ -182,12 +182,12 @@
 }
 
 /// The same moment on the modules' clock.
-fn zone_right(right: ZoneAccess) -> ZoneRight {
+fn zone_right(right: ZoneAccess) -> ZoneAdmission {
     match right {
-        ZoneAccess::Open => ZoneRight::Open,
-        ZoneAccess::Share(part) => ZoneRight::Part(part),
-        ZoneAccess::Rate(per_s, until) => ZoneRight::Rate { per_s, until: EPOCH + until },
-        ZoneAccess::Closed => ZoneRight::Closed,
-        ZoneAccess::Unreachable => ZoneRight::Dark,
+        ZoneAccess::Open => ZoneAdmission::Open,
+        ZoneAccess::Share(part) => ZoneAdmission::Fraction(part),
+        ZoneAccess::Rate(per_s, until) => ZoneAdmission::Rate { per_s, until: EPOCH + until },
+        ZoneAccess::Closed => ZoneAdmission::Closed,
+        ZoneAccess::Unreachable => ZoneAdmission::Unreachable,
     }
 }
--- a/crates/model/src/world/endpoints.rs
+++ b/crates/model/src/world/endpoints.rs
@@ -32,7 +32,7 @@
         self.count_cold_call(id, endpoint_index, work);
         if self.endpoints[endpoint_index].machine.offer(self.now, id, work, until) == Offered::Full {
             self.tally.at(born).turned_away += 1;
-            return self.reply(id, Outcome::Full);
+            return self.reply(id, Outcome::Rejected);
         }
         self.look(endpoint_index);
     }
--- a/crates/model/src/world/sidecars.rs
+++ b/crates/model/src/world/sidecars.rs
@@ -49,7 +49,7 @@
             }
             Action::CloseIdle { endpoint } => self.processes[process].close_idle(endpoint.0 as usize),
             // A timer that comes all the same brings nothing about.
-            Action::DropTimer { .. } => {}
+            Action::CancelTimer { .. } => {}
             Action::Watch(_) | Action::FetchList | Action::Probe { .. } | Action::Log(_) => {}
         }
     }
@@ -73,7 +73,7 @@
                 request,
                 attempt: number,
                 endpoint,
-                outcome: Outcome::Moot,
+                outcome: Outcome::NotSent,
                 elapsed: Duration::ZERO,
                 finished: open.answered,
                 report: None,
--- a/crates/model/tests/discovery_load.rs
+++ b/crates/model/tests/discovery_load.rs
@@ -1,6 +1,6 @@
 //! Discovery's return under a whole fleet, with the waits that the decision module draws.
 
-use curlewhub_balance::{RefusalCause, refused_wait};
+use curlewhub_balance::{RefusalCause, refusal_retry_delay};
 use curlewhub_model::discovery_load::{
     Callers, Discovery, Failures, Outage, Recovery, RetryWait, recover, recover_from,
 };
@@ -31,7 +31,7 @@
 
 /// The module's waits, as all of these calls are refused.
 fn module_waits(failures: Failures, draw: f64) -> Duration {
-    refused_wait(failures.before, RefusalCause::Unknown, failures.took, draw)
+    refusal_retry_delay(failures.before, RefusalCause::Unknown, failures.took, draw)
 }
 
 #[test]
@@ -107,7 +107,7 @@
     let discovery = Discovery { calls_per_second, wait_limit, queue_limit: wait_limit };
     let callers = Callers { waiting: size, starting, starting_within: Duration::from_secs(6) };
     let wait = |failures: Failures, draw: f64| match failures.refused {
-        true => refused_wait(failures.before, RefusalCause::Unknown, failures.took, draw),
+        true => refusal_retry_delay(failures.before, RefusalCause::Unknown, failures.took, draw),
         false => Duration::from_millis(150).mul_f64(draw),
     };
     let outage = Outage { silent: Some(Duration::from_millis(3200)), second_call };
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -194,7 +194,7 @@
             counts.sort();
             // What is kept must stay in proportion to what is open and listed.
             let (open, timers, module) =
-                (self.requests.len(), self.timers.len(), self.balancer.remembered());
+                (self.requests.len(), self.timers.len(), self.balancer.tracked_items());
             let (listed, names, links) = (self.addresses.len(), self.listing.names(), self.outbound.idle());
             info!(
                 seconds = SUMMARY.as_secs(),
@@ -214,7 +214,7 @@
     fn take(&mut self, input: Input) {
         match input {
             Input::Arrived(arrival) => self.arrived(*arrival),
-            Input::BodyFlows(id) => self.handle(Event::BodyFlows(id)),
+            Input::BodyFlows(id) => self.handle(Event::BodyNotReplayable(id)),
             Input::BodyWhole(id, deadline) => self.body_whole(id, deadline),
             Input::ClientGone(id) => self.gone(id),
             Input::AttemptEnded(id, attempt, ended) => self.attempt_ended(id, attempt, ended),
@@ -233,7 +233,7 @@
                 warn!(requests = open.len(), "giving up what is still open");
                 for id in open {
                     self.finish(id, Answer::Failed);
-                    self.handle(Event::RequestGone(id));
+                    self.handle(Event::RequestAbandoned(id));
                     self.tidy(id);
                 }
             }
@@ -244,7 +244,7 @@
         // An answer that nobody waits for any more is nobody's loss.
         match command {
             Command::Hosts(told) => {
-                let down = self.balancer.avoided(self.clock.now());
+                let down = self.balancer.avoided_endpoints(self.clock.now());
                 let (listed, parts) = (self.addresses.len(), self.overlap.parts());
                 let list = self.list_status;
                 let _ = told.send(Hosts { listed, down, parts, list });
@@ -293,7 +293,7 @@
             self.banned.remove(&id);
         }
         self.admit(id);
-        self.handle(Event::Ban { endpoint: id, on });
+        self.handle(Event::Ban { endpoint: id, banned: on });
     }
 
     /// Something new may be written to it from now on where it is listed, does not drain and is not banned.
@@ -314,11 +314,11 @@
             {
                 self.idempotency_keys.import_journals(self.clock.now());
             }
-            request.earlier = self.idempotency_keys.earlier_send(self.clock.now(), key);
+            request.earlier_attempt = self.idempotency_keys.earlier_send(self.clock.now(), key);
         }
         request.time_left = deadline.saturating_duration_since(Instant::now());
         debug!(request = request.id.0, class = request.class.0, tenant = request.tenant.0, "request");
-        let coming = request.body_coming.then_some(time);
+        let coming = request.body_incomplete.then_some(time);
         let deadline = watch::Sender::new(deadline);
         let class = request.class;
         let (answer, tries, out, noted) = (Some(answer), Vec::new(), 0, false);
@@ -336,14 +336,14 @@
         open.deadline.send_replace(deadline);
         open.tries.iter_mut().filter(|tried| tried.cancel.is_some()).for_each(|tried| tried.sent = now);
         let time_left = deadline.saturating_duration_since(now);
-        self.handle(Event::BodyWhole { request: id, time_left });
+        self.handle(Event::BodyComplete { request: id, time_left });
     }
 
     fn gone(&mut self, id: RequestId) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         if open.answer.take().is_some() {
             self.count("client gone");
-            self.handle(Event::RequestGone(id));
+            self.handle(Event::RequestAbandoned(id));
         }
         self.tidy(id);
     }
@@ -455,7 +455,7 @@
             Action::SetTimer { token, after } => {
                 self.timers.set(token.0, Instant::now() + after);
             }
-            Action::DropTimer { token } => self.timers.drop(token.0),
+            Action::CancelTimer { token } => self.timers.drop(token.0),
             // These fail only while the process ends.
             Action::Watch(on) => drop(self.calls.send(Call::Watch(on))),
             Action::FetchList => drop(self.calls.send(Call::Fetch)),
@@ -467,7 +467,7 @@
 
     /// Starts an attempt. What must not be sent is numbered all the same, and ends as moot.
     fn send(&mut self, id: RequestId, endpoint: EndpointId, timeout: Duration) {
-        let repeats_until = self.balancer.repeats_until(id);
+        let repeats_until = self.balancer.retry_deadline(id);
         let Some(open) = self.requests.get_mut(&id) else { return };
         if open.client.has_gone() {
             open.answer = None; // its leaving is still on its way here, behind what came before it
@@ -482,14 +482,14 @@
                 request: id,
                 attempt,
                 endpoint,
-                outcome: Outcome::Moot,
+                outcome: Outcome::NotSent,
                 elapsed: Duration::ZERO,
                 finished: open.answer.is_none(),
                 report: None,
             }));
-            return self.count(outcome_name(Outcome::Moot));
+            return self.count(outcome_name(Outcome::NotSent));
         };
-        if let (Some(key), Some((zone, cell))) = (open.key, self.balancer.place(endpoint)) {
+        if let (Some(key), Some((zone, cell))) = (open.key, self.balancer.location(endpoint)) {
             open.noted |= self.idempotency_keys.record_send(self.clock.now(), key, open.class, zone, cell);
         }
         debug!(
@@ -505,7 +505,7 @@
         open.out += 1;
         // While a body still comes no endpoint takes any time over it.
         if open.coming.is_none() {
-            let zone = || self.balancer.place(endpoint).map(|(zone, _)| zone);
+            let zone = || self.balancer.location(endpoint).map(|(zone, _)| zone);
             self.call_observer.attempt_started((id, attempt), open.class, &zone);
         }
         let request = open.forward.request(address);
@@ -574,12 +574,12 @@
     match outcome {
         Outcome::Ok => "ok",
         Outcome::Error => "error",
-        Outcome::Full => "turned away",
+        Outcome::Rejected => "turned away",
         Outcome::TimedOut => "timed out",
         Outcome::ConnectFailed => "not connected",
         Outcome::LocalFault => "fault of this machine",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "moot",
+        Outcome::NotSent => "moot",
     }
 }
--- a/crates/runtime/src/driver/probes.rs
+++ b/crates/runtime/src/driver/probes.rs
@@ -25,7 +25,7 @@
     /// Probes some endpoints of a zone, others each time.
     pub(super) fn probe_zone(&mut self, zone: ZoneId, count: u32, within: Duration) {
         let usable = |id: &EndpointId| {
-            !self.banned.contains(id) && self.balancer.place(*id).is_some_and(|(place, _)| place == zone)
+            !self.banned.contains(id) && self.balancer.location(*id).is_some_and(|(place, _)| place == zone)
         };
         let mut there: Vec<EndpointId> = self.addresses.keys().copied().filter(usable).collect();
         there.sort_unstable();
@@ -47,7 +47,7 @@
                 // Any answer shows that the endpoint can be reached.
                 observer.zone_probe_ended(
                     zone,
-                    matches!(ended, Ok(Outcome::Ok | Outcome::Error | Outcome::Full)),
+                    matches!(ended, Ok(Outcome::Ok | Outcome::Error | Outcome::Rejected)),
                 );
             });
         }
--- a/crates/runtime/src/events.rs
+++ b/crates/runtime/src/events.rs
@@ -4,7 +4,7 @@
 use crate::figures::Hosts;
 use crate::streaming::{AnswerBody, Payload};
 use curlewhub_balance::{
-    AttemptNo, EndpointId, Membership, Outcome, Portion, RequestId, Snapshot, ZoneId, ZoneRights,
+    AttemptNo, EndpointId, Membership, Outcome, RequestId, ShareTransfer, Snapshot, ZoneAdmissions, ZoneId,
 };
 use curlewhub_config::list::Target;
 use hyper::body::Bytes;
@@ -67,7 +67,7 @@
         told: oneshot::Sender<Result<(), &'static str>>,
     },
     /// This may go into zones from now on.
-    Zones(ZoneRights),
+    Zones(ZoneAdmissions),
     /// Probe so many endpoints of a zone; one that has not answered within the time counts as not there.
     ProbeZone {
         /// The zone.
@@ -98,7 +98,7 @@
     /// The sender's demand.
     Demand(u32),
     /// Parts that the sender gives away, and the balancer state that belongs to them.
-    Parts(u32, Portion),
+    Parts(u32, ShareTransfer),
 }
 
 /// A request as it came in.
--- a/crates/runtime/src/handover/overlap.rs
+++ b/crates/runtime/src/handover/overlap.rs
@@ -103,7 +103,7 @@
     ) {
         let state = if is_predecessor {
             self.quota.predecessor(link);
-            access.balancer.holds_nothing(access.now);
+            access.balancer.begin_without_share(access.now);
             PeerState::AwaitingPredecessor
         } else {
             self.quota.successor(link);
@@ -135,9 +135,12 @@
             OverlapMessage::Parts(parts, _) => self.quota.gets(link, parts),
         };
         match (accepted, message) {
-            (Ok(()), OverlapMessage::Parts(_, portion)) => {
-                access.balancer.gains(access.now, self.quota.share(), Some(&portion), access.actions)
-            }
+            (Ok(()), OverlapMessage::Parts(_, portion)) => access.balancer.acquire_share(
+                access.now,
+                self.quota.share(),
+                Some(&portion),
+                access.actions,
+            ),
             (Ok(()), OverlapMessage::Demand(_)) => {}
             (Err(error), _) => warn!(link, %error, "sharing: message rejected"),
         }
@@ -155,7 +158,7 @@
         self.peers.remove(&link);
         let returned = self.quota.gone(link, ending);
         if returned > 0 {
-            access.balancer.gains(access.now, self.quota.share(), None, access.actions);
+            access.balancer.acquire_share(access.now, self.quota.share(), None, access.actions);
         }
         if self.peers.is_empty() {
             self.sample_at = None;
@@ -187,7 +190,7 @@
                 (peer.send)(OverlapMessage::Demand(demand));
             }
             if let Some(parts) = self.quota.gives(*link, demand) {
-                let portion = access.balancer.gives(access.now, self.quota.share());
+                let portion = access.balancer.release_share(access.now, self.quota.share());
                 (peer.send)(OverlapMessage::Parts(parts, portion));
             }
         }
--- a/crates/runtime/src/handover/protocol.rs
+++ b/crates/runtime/src/handover/protocol.rs
@@ -15,7 +15,7 @@
 use crate::interrupts::Uninterrupted;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use curlewhub_balance::Portion;
+use curlewhub_balance::ShareTransfer;
 use std::io;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader, ReadHalf, WriteHalf, split};
 use tokio::net::UnixStream;
@@ -60,7 +60,8 @@
             "NEED" => rest.parse().ok().map(|demand| Message::Overlap(OverlapMessage::Demand(demand))),
             "GIVE" => {
                 let (parts, portion) = rest.split_once(' ')?;
-                let portion: Portion = serde_json::from_str(portion).ok().filter(Portion::is_sound)?;
+                let portion: ShareTransfer =
+                    serde_json::from_str(portion).ok().filter(ShareTransfer::is_valid)?;
                 Some(Message::Overlap(OverlapMessage::Parts(parts.parse().ok()?, portion)))
             }
             _ => None,
--- a/crates/runtime/src/idempotency_keys.rs
+++ b/crates/runtime/src/idempotency_keys.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::Clock;
 use crate::figures::Figures;
-use curlewhub_balance::{CellId, ClassId, Earlier, Group, Semantics, Settings, ZoneId};
+use curlewhub_balance::{CellId, ClassId, DeduplicationScope, EarlierAttempt, Semantics, Settings, ZoneId};
 use curlewhub_keys::{
     Entry, JournalFolder, Memory, Others, OwnJournal, RETRY_INTERVAL, SlotWrite, zones_hash,
 };
@@ -46,7 +46,9 @@
 /// By class, how long a repeat must stay within the group of endpoints of its first send; none if it need not.
 pub fn repeat_windows(settings: &Settings) -> Vec<Option<Duration>> {
     let window = |semantics| match semantics {
-        Semantics::Keyed { group: Group::Zone | Group::Cell, window } => Some(window),
+        Semantics::Keyed { group: DeduplicationScope::Zone | DeduplicationScope::Cell, window } => {
+            Some(window)
+        }
         _ => None,
     };
     settings.classes.iter().map(|class| window(class.semantics)).collect()
@@ -127,9 +129,9 @@
     }
 
     /// Where the job of this key may have run before, if endpoints there still drop a repeat of it.
-    pub fn earlier_send(&self, now: Duration, key: u64) -> Option<Earlier> {
+    pub fn earlier_send(&self, now: Duration, key: u64) -> Option<EarlierAttempt> {
         let entry = self.memory.find(now, key)?;
-        Some(Earlier { zone: ZoneId(entry.zone), cell: CellId(entry.cell), sent: entry.sent })
+        Some(EarlierAttempt { zone: ZoneId(entry.zone), cell: CellId(entry.cell), sent: entry.sent })
     }
 
     /// Records that a job is about to be sent to an endpoint of this zone and cell, and writes that to the journal.
--- a/crates/runtime/src/inbound/exchange.rs
+++ b/crates/runtime/src/inbound/exchange.rs
@@ -235,7 +235,7 @@
         let id = RequestId(self.next.get());
         self.next.set(id.0 + 1);
         request.id = id;
-        request.body_coming = upload.is_some();
+        request.body_incomplete = upload.is_some();
         let key = head.headers.get("idempotency-key").filter(|_| self.grouped[request.class.0]);
         let key = key.map(|key| curlewhub_keys::hash(&self.classes[request.class.0], key.as_bytes()));
         drop_hop_headers(&mut head.headers);
--- a/crates/runtime/src/inbound/request.rs
+++ b/crates/runtime/src/inbound/request.rs
@@ -79,10 +79,10 @@
             work_hint,
             key,
             client_retry: text("x-retried")? == Some("1"),
-            body_coming: false,
+            body_incomplete: false,
             write: text("x-attrs")?
                 .is_some_and(|attrs| attrs.split(',').any(|attr| attr.trim() == "write=1")),
-            earlier: None,
+            earlier_attempt: None,
         };
         Ok((request, time))
     }
--- a/crates/runtime/src/listing.rs
+++ b/crates/runtime/src/listing.rs
@@ -3,7 +3,7 @@
 
 use crate::events::News;
 use curlewhub_balance::{
-    CellId, EndpointId, EndpointInfo, EndpointNames, EndpointState, KindId, Membership, ZoneId,
+    CellId, EndpointId, EndpointInfo, EndpointNames, EndpointState, MachineKindId, Membership, ZoneId,
 };
 use curlewhub_config::Names;
 use curlewhub_config::list::{List, State};
@@ -27,7 +27,7 @@
 
     /// The id of an endpoint of this uid, listed or not.
     pub fn id(&self, uid: &str) -> EndpointId {
-        self.ids.borrow_mut().id(uid)
+        self.ids.borrow_mut().intern(uid)
     }
 
     /// The id of the endpoint of this uid, if it is known.
@@ -59,7 +59,7 @@
         let (mut entries, mut addresses, mut seen) = (Vec::new(), Vec::new(), HashSet::new());
         // Of an endpoint named twice the last word counts.
         for target in list.targets.into_iter().rev() {
-            let id = ids.id(&target.uid);
+            let id = ids.intern(&target.uid);
             if !seen.insert(id) {
                 warn!(
                     endpoint = target.uid,
@@ -72,7 +72,7 @@
             entries.push(EndpointInfo {
                 id,
                 zone: ZoneId(place(&self.names.areas, &target.az)),
-                kind: KindId(place(&self.names.kinds, &target.model)),
+                machine_kind: MachineKindId(place(&self.names.kinds, &target.model)),
                 cell: CellId(target.pod_group),
                 state: match target.state {
                     State::Up => EndpointState::Ready,
--- a/crates/runtime/src/outbound.rs
+++ b/crates/runtime/src/outbound.rs
@@ -169,7 +169,7 @@
         loop {
             let linked = tokio::select! {
                 biased;
-                () = self.withdrawn(endpoint, address, progress) => Err(NoLink::Ends(Outcome::Moot)),
+                () = self.withdrawn(endpoint, address, progress) => Err(NoLink::Ends(Outcome::NotSent)),
                 linked = self.link(endpoint, address) => linked,
             };
             let (mut link, fresh) = match linked {
@@ -239,7 +239,7 @@
             }
             if link.heard.withheld() {
                 progress.whole.set(false);
-                return Ended::bare(Outcome::Moot);
+                return Ended::bare(Outcome::NotSent);
             }
             match (read, progress.whole.get(), fresh) {
                 (Some(Read::Whole(outcome, body)), whole, _) => {
@@ -278,7 +278,7 @@
         let never_ran = head.headers.get("x-not-processed").is_some_and(|v| v.as_bytes() == b"1");
         let outcome = match head.status {
             StatusCode::OK => Outcome::Ok,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Outcome::Full,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Outcome::Rejected,
             _ => Outcome::Error,
         };
         let least = body.size_hint().lower();
@@ -471,7 +471,7 @@
 
     async fn connect(&self, endpoint: EndpointId, address: SocketAddr) -> Result<Link, NoLink> {
         let slot = self.slots.take(endpoint).await.map_err(|leave| match leave {
-            Leave::Full => NoLink::Ends(Outcome::Full),
+            Leave::Full => NoLink::Ends(Outcome::Rejected),
             Leave::Open | Leave::Wait => NoLink::LookAgain,
         })?;
         let permit = loop {
@@ -498,7 +498,7 @@
             Ok(stream) => stream,
             Err(ConnectError::Refused) => {
                 return Err(match slot.refused() {
-                    Refusal::Full => NoLink::Ends(Outcome::Full),
+                    Refusal::Full => NoLink::Ends(Outcome::Rejected),
                     Refusal::Unknown => FAILED,
                 });
             }
--- a/crates/runtime/tests/discovery.rs
+++ b/crates/runtime/tests/discovery.rs
@@ -1,7 +1,7 @@
 //! Calls to discovery that cross: several asked for at once, and answers that come in another order than they were
 //! asked for in.
 
-use curlewhub_balance::{Discovery as Mode, Membership, RefusalCause, Rules, refused_wait};
+use curlewhub_balance::{Discovery as Mode, Membership, RefusalCause, Rules, refusal_retry_delay};
 use curlewhub_config::Names;
 use curlewhub_discovery_client::Backoff;
 use curlewhub_discovery_client::timing::{CALL_TIMEOUT, MAX_SPREAD, MAX_WAIT, NOTIFIED_WITHIN};
@@ -284,7 +284,9 @@
                 }
                 news @ (Membership::Failed | Membership::Refused) => {
                     let wait = match news {
-                        Membership::Refused => refused_wait(0, RefusalCause::Unknown, Duration::ZERO, 1.0),
+                        Membership::Refused => {
+                            refusal_retry_delay(0, RefusalCause::Unknown, Duration::ZERO, 1.0)
+                        }
                         _ => MAX_SPREAD,
                     };
                     self.failures.push((Instant::now(), news));
--- a/crates/runtime/tests/handover_protocol.rs
+++ b/crates/runtime/tests/handover_protocol.rs
@@ -1,6 +1,6 @@
 //! The text form of the messages between predecessor and successor.
 
-use curlewhub_balance::Portion;
+use curlewhub_balance::ShareTransfer;
 use curlewhub_runtime::events::OverlapMessage;
 use curlewhub_runtime::handover::protocol::Message;
 
@@ -8,7 +8,7 @@
 fn messages_are_parsed_as_they_are_written() {
     let ban = |banned| Message::Ban { uid: "s-1".to_owned(), banned };
     let learned_state = Message::LearnedState(vec![0, 10, 255]);
-    let portion: Portion =
+    let portion: ShareTransfer =
         serde_json::from_str(r#"{"windows":[[3.25,true],[1.0,false]],"retries":0.1}"#).unwrap();
     let demand = Message::Overlap(OverlapMessage::Demand(9));
     let parts = Message::Overlap(OverlapMessage::Parts(7, portion));
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use store::{Store, remove_temporary_files, replace_file};
 
-use curlewhub_balance::{AGE_MOST, Settings, Snapshot};
+use curlewhub_balance::{MAX_SNAPSHOT_AGE, Settings, Snapshot};
 use fnv::FnvHasher;
 use std::fmt::Write;
 use std::hash::Hasher;
@@ -70,8 +70,8 @@
     /// Its payload can't be decoded, or contains values that no balancer reaches.
     #[error("malformed")]
     Malformed,
-    /// It is older than [`AGE_MOST`]: what it says no longer holds.
-    #[error("too old: {} s, at most {}", .0.as_secs(), AGE_MOST.as_secs())]
+    /// It is older than [`MAX_SNAPSHOT_AGE`]: what it says no longer holds.
+    #[error("too old: {} s, at most {}", .0.as_secs(), MAX_SNAPSHOT_AGE.as_secs())]
     TooOld(Duration),
     /// It was taken in the future, by more than a small step of the clock explains.
     #[error("from the future, by {} s", .0.as_secs())]
@@ -167,7 +167,7 @@
         return Err(SnapshotError::Corrupt);
     }
     let snapshot: Snapshot = postcard::from_bytes(payload).map_err(|_| SnapshotError::Malformed)?;
-    if snapshot.is_sound() { Ok((snapshot, fingerprint)) } else { Err(SnapshotError::Malformed) }
+    if snapshot.is_valid() { Ok((snapshot, fingerprint)) } else { Err(SnapshotError::Malformed) }
 }
 
 /// The appendix of a snapshot that [`decode_any`] accepts; empty if there is none.
@@ -196,7 +196,7 @@
     correction_micros: i64,
 ) -> Result<Snapshot, SnapshotError> {
     let (snapshot, actual_fingerprint) = decode_any(bytes)?;
-    let snapshot = snapshot.moved(correction_micros);
+    let snapshot = snapshot.shifted(correction_micros);
     if actual_fingerprint != fingerprint {
         return Err(SnapshotError::Configuration);
     }
@@ -205,7 +205,7 @@
         return Err(SnapshotError::FromTheFuture(ahead));
     }
     let age = snapshot.age(now);
-    if age > AGE_MOST { Err(SnapshotError::TooOld(age)) } else { Ok(snapshot) }
+    if age > MAX_SNAPSHOT_AGE { Err(SnapshotError::TooOld(age)) } else { Ok(snapshot) }
 }
 
 /// The old name of [`MAX_BYTES`], for one release.
--- a/crates/snapshot/tests/clocks.rs
+++ b/crates/snapshot/tests/clocks.rs
@@ -41,6 +41,6 @@
         assert!(decode(SNAPSHOT_WITHOUT_APPENDIX, settings, now).is_err(), "too old, or from the future");
         let snapshot = decode_corrected(SNAPSHOT_WITHOUT_APPENDIX, settings, now, correction).unwrap();
         assert_eq!(snapshot.age(now), Duration::from_secs(5));
-        assert_eq!(snapshot.moved(-correction), decode_any(SNAPSHOT_WITHOUT_APPENDIX).unwrap().0);
+        assert_eq!(snapshot.shifted(-correction), decode_any(SNAPSHOT_WITHOUT_APPENDIX).unwrap().0);
     }
 }
--- a/crates/snapshot/tests/fuzz.rs
+++ b/crates/snapshot/tests/fuzz.rs
@@ -125,7 +125,8 @@
             .cloned()
         {
             assert!(endpoint.0 < u64::from(listed), "sent to an endpoint that is not listed");
-            let outcomes = [Outcome::Ok, Outcome::Error, Outcome::Full, Outcome::Reset, Outcome::TimedOut];
+            let outcomes =
+                [Outcome::Ok, Outcome::Error, Outcome::Rejected, Outcome::Reset, Outcome::TimedOut];
             let outcome = outcomes[usize::from(*kind) % outcomes.len()];
             let elapsed = Duration::from_millis(u64::from(*millis) / 7);
             let (attempt, finished) = (AttemptNo(attempts as u32), outcome == Outcome::Ok);
@@ -135,7 +136,7 @@
             attempts += 1;
             assert!(attempts < 100, "retried without end");
         }
-        balancer.handle(now, Event::RequestGone(id), &mut out);
+        balancer.handle(now, Event::RequestAbandoned(id), &mut out);
     }
 }
 
@@ -171,7 +172,7 @@
     let mut new = balancer(case.endpoints % 12, now);
     let restored = new.restore(now, &decoded);
     simulate_calls(&mut new, now, 1_000_000, &case.after, case.endpoints % 12);
-    assert!(new.snapshot(now).is_sound(), "its own snapshot would be rejected");
+    assert!(new.snapshot(now).is_valid(), "its own snapshot would be rejected");
     let gone = EndpointInfo { state: EndpointState::Gone, ..EndpointInfo::ready(0) };
     new.handle(now, Event::Membership(Membership::Delta(vec![gone])), &mut Vec::new());
     restored
--- a/crates/snapshot/tests/stored_forms.rs
+++ b/crates/snapshot/tests/stored_forms.rs
@@ -3,7 +3,7 @@
 #[path = "../../control-plane/tests/support/fixture.rs"]
 mod fixture;
 
-use curlewhub_balance::{Class, Group, Semantics, Settings, Snapshot, Tenant};
+use curlewhub_balance::{Class, DeduplicationScope, Semantics, Settings, Snapshot, Tenant};
 use curlewhub_snapshot::{Store, decode, encode, fingerprint};
 use fixture::{assert_same, hex, unhex, values};
 use std::time::Duration;
@@ -36,7 +36,7 @@
 
 /// Settings that differ from the default ones in each part that a file sets.
 fn settings() -> Settings {
-    let semantics = Semantics::Keyed { group: Group::Zone, window: ms(6001) };
+    let semantics = Semantics::Keyed { group: DeduplicationScope::Zone, window: ms(6001) };
     let classes = vec![Class { semantics, ..Class::default() }, Class::default()];
     let tenants = vec![Tenant { allowance_per_s: 40.5, portion: 0.25 }];
     Settings { balancers: 7, me: 3, tiers: 2, tier: 1, classes, tenants, ..Settings::default() }
