--- a/crates/keys/src/clock.rs
+++ b/crates/keys/src/clock.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockAnchor {
     /// The hash of the boot's id.
-    pub boot: u64,
+    pub boot_id_hash: u64,
     /// The moment in Unix time, by the wall clock that the process read at its start.
     pub unix: Duration,
     /// The moment on the clock of the boot, `CLOCK_BOOTTIME`.
@@ -32,7 +32,7 @@
 #[repr(C)]
 struct AnchorBytes {
     magic: U32,
-    boot: U64,
+    boot_id_hash: U64,
     unix_micros: U64,
     since_boot_micros: U64,
     suspended_ms: U32,
@@ -44,7 +44,7 @@
     /// An anchor in the boot with this id; `monotonic` is the same moment on `CLOCK_MONOTONIC`.
     pub fn new(boot_id: &[u8], unix: Duration, since_boot: Duration, monotonic: Duration) -> ClockAnchor {
         let suspended_ms = since_boot.saturating_sub(monotonic).as_millis() as u32;
-        ClockAnchor { boot: xxh3_64(boot_id), unix, since_boot, suspended_ms }
+        ClockAnchor { boot_id_hash: xxh3_64(boot_id), unix, since_boot, suspended_ms }
     }
 
     /// What has to be added to a time of another process, in microseconds, to get the same moment on the clock of this
@@ -53,7 +53,7 @@
     pub fn correction_micros(&self, other: &ClockAnchor) -> Option<i64> {
         let forward = self.suspended_ms.wrapping_sub(other.suspended_ms);
         let difference = forward.min(forward.wrapping_neg());
-        if self.boot != other.boot || difference > MAX_SUSPENDED_DIFFERENCE_MS {
+        if self.boot_id_hash != other.boot_id_hash || difference > MAX_SUSPENDED_DIFFERENCE_MS {
             return None;
         }
         let offset =
@@ -65,7 +65,7 @@
     pub fn to_bytes(&self) -> Vec<u8> {
         AnchorBytes {
             magic: ANCHOR_MAGIC.into(),
-            boot: self.boot.into(),
+            boot_id_hash: self.boot_id_hash.into(),
             unix_micros: (self.unix.as_micros() as u64).into(),
             since_boot_micros: (self.since_boot.as_micros() as u64).into(),
             suspended_ms: self.suspended_ms.into(),
@@ -78,7 +78,7 @@
     pub fn from_bytes(bytes: &[u8]) -> Option<ClockAnchor> {
         let fields = AnchorBytes::ref_from_bytes(bytes).ok()?;
         (fields.magic.get() == ANCHOR_MAGIC).then(|| ClockAnchor {
-            boot: fields.boot.get(),
+            boot_id_hash: fields.boot_id_hash.get(),
             unix: Duration::from_micros(fields.unix_micros.get()),
             since_boot: Duration::from_micros(fields.since_boot_micros.get()),
             suspended_ms: fields.suspended_ms.get(),
--- a/crates/keys/src/journal.rs
+++ b/crates/keys/src/journal.rs
@@ -6,7 +6,8 @@
 use crate::clock::{ClockAnchor, shift};
 use crate::memory::{Entry, SlotWrite};
 use crate::record::{
-    Contents, HEADER_BYTES, JournalError, MAX_BYTES, SLOT_BYTES, encode, encode_anchor, encode_header, read,
+    HEADER_BYTES, JournalContents, JournalError, MAX_BYTES, SLOT_BYTES, decode, encode, encode_anchor,
+    encode_header,
 };
 use std::collections::BTreeMap;
 use std::fs::{File, TryLockError};
@@ -156,7 +157,7 @@
         self.journal.is_none() || !self.dirty_slots.is_empty()
     }
 
-    /// The old name of [`RetryingJournal::needs_retry`], until `runtime` uses the new one.
+    /// The old name of [`RetryingJournal::needs_retry`], for one release.
     pub fn is_owing(&self) -> bool {
         self.needs_retry()
     }
@@ -249,12 +250,12 @@
 
     /// Reads all entries. Also returns one message for each file that could not be read in full.
     pub fn read(&self) -> (Vec<Entry>, Vec<String>) {
-        self.read_on(None)
+        self.read_with_clock(None)
     }
 
     /// As [`OtherJournals::read`], with times converted to the clock of this anchor. Where the clock of a file can't be
     /// compared with it, times stay as they were written.
-    pub fn read_on(&self, clock: Option<&ClockAnchor>) -> (Vec<Entry>, Vec<String>) {
+    pub fn read_with_clock(&self, clock: Option<&ClockAnchor>) -> (Vec<Entry>, Vec<String>) {
         let (mut entries, mut problems) = (Vec::new(), Vec::new());
         for path in self.paths() {
             match read_file(&path, self.zones_hash) {
@@ -278,14 +279,18 @@
 
     /// Removes files of ended processes that were not written for `retention` by the wall clock. Returns their number.
     /// Where the file system has no locks, every process counts as ended.
-    pub fn clear(&self, retention: Duration) -> usize {
-        self.clear_on(retention, None)
+    pub fn remove_expired(&self, retention: Duration) -> usize {
+        self.remove_expired_with_clock(retention, None)
     }
 
     /// Removes files of ended processes whose newest entry was sent more than `retention` before `now`, both on the clock
     /// of the given anchor. A file without entries counts from the start of its process. Where the clocks can't be compared, the file's modification time counts. Returns the number of
     /// files removed.
-    pub fn clear_on(&self, retention: Duration, clock: Option<(&ClockAnchor, Duration)>) -> usize {
+    pub fn remove_expired_with_clock(
+        &self,
+        retention: Duration,
+        clock: Option<(&ClockAnchor, Duration)>,
+    ) -> usize {
         let removable = |path: &PathBuf| match File::open(path).map(|file| file.try_lock()) {
             Ok(Err(TryLockError::WouldBlock)) => false, // its process is alive
             Ok(Ok(())) => {
@@ -325,7 +330,7 @@
 }
 
 /// What has to be added to the times of a file, in microseconds, to convert them to this clock.
-fn correction(clock: Option<&ClockAnchor>, contents: &Contents) -> Option<i64> {
+fn correction(clock: Option<&ClockAnchor>, contents: &JournalContents) -> Option<i64> {
     clock?.correction_micros(contents.anchor.as_ref()?)
 }
 
@@ -345,9 +350,9 @@
     Format(#[from] JournalError),
 }
 
-fn read_file(path: &Path, zones_hash: u64) -> Result<Contents, ReadError> {
+fn read_file(path: &Path, zones_hash: u64) -> Result<JournalContents, ReadError> {
     let mut bytes = Vec::new();
     // One byte more than the longest journal is enough to see that the file is too long.
     File::open(path)?.take(MAX_BYTES as u64 + 1).read_to_end(&mut bytes)?;
-    Ok(read(&bytes, zones_hash)?)
+    Ok(decode(&bytes, zones_hash)?)
 }
--- a/crates/keys/src/lib.rs
+++ b/crates/keys/src/lib.rs
@@ -3,7 +3,7 @@
 //! Endpoints of one group (a zone, or a cell) drop a repeated key for a window of time; other endpoints would run the
 //! job a second time. A process knows where its own attempts went, but it loses that when it is killed, while its
 //! clients repeat their open requests to the next process. So each first send of a key is written to a journal before
-//! it goes out. [`Memory`] decides what is remembered and in which slot, sans I/O. [`RetryingJournal`] writes the slots to
+//! it goes out. [`KeyTable`] decides what is remembered and in which slot, sans I/O. [`RetryingJournal`] writes the slots to
 //! a file that survives the process and retries what a failing disk rejects. [`OtherJournals`] reads the files of earlier
 //! processes, and [`ClockAnchor`] makes their times comparable after the wall clock was stepped.
 
@@ -16,8 +16,8 @@
 
 pub use clock::{ClockAnchor, shift};
 pub use journal::{Journal, JournalFolder, OtherJournals, RETRY_INTERVAL, RetryingJournal};
-pub use memory::{Entry, MAX_KEYS, Memory, SlotWrite};
-pub use record::{Contents, JournalError, encode_header, read};
+pub use memory::{Entry, KeyTable, MAX_KEYS, SlotWrite};
+pub use record::{JournalContents, JournalError, decode, encode_header};
 
 use xxhash_rust::xxh3::Xxh3;
 
@@ -48,8 +48,8 @@
 /// The old name of [`zones_hash`], for one release.
 pub use zones_hash as mark;
 
-/// The old name of [`OtherJournals`], until `runtime` uses the new one.
+/// The old name of [`OtherJournals`], for one release.
 pub use OtherJournals as Others;
 
-/// The old name of [`RetryingJournal`], until `runtime` uses the new one.
+/// The old name of [`RetryingJournal`], for one release.
 pub use RetryingJournal as OwnJournal;
--- a/crates/keys/src/memory.rs
+++ b/crates/keys/src/memory.rs
@@ -24,7 +24,7 @@
 
 impl Entry {
     /// Whether the window has passed, so that endpoints no longer know the key.
-    pub fn is_over(&self, now: Duration) -> bool {
+    pub fn is_expired(&self, now: Duration) -> bool {
         now >= self.sent + self.window
     }
 }
@@ -55,7 +55,7 @@
 
 /// The remembered keys. If the time passed in steps back, entries stay longer.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct KeyTable {
     keys: HashMap<u64, Remembered>,
     /// Past writes, oldest first. Those whose slot was forgotten or overwritten since stay in the queue and are skipped.
     writes: VecDeque<PastWrite>,
@@ -65,10 +65,10 @@
     evicted: u64,
 }
 
-impl Memory {
+impl KeyTable {
     /// A memory for up to `max_keys` keys, but no more than [`MAX_KEYS`].
-    pub fn holding(max_keys: usize) -> Self {
-        Memory { max_keys: Some(max_keys.clamp(1, MAX_KEYS)), ..Memory::default() }
+    pub fn with_max_keys(max_keys: usize) -> Self {
+        KeyTable { max_keys: Some(max_keys.clamp(1, MAX_KEYS)), ..KeyTable::default() }
     }
 
     /// The number of keys, including expired ones that were not removed yet.
@@ -82,20 +82,20 @@
     }
 
     /// The number of keys that were evicted before they expired, because the memory was full.
-    pub fn lost(&self) -> u64 {
+    pub fn evicted(&self) -> u64 {
         self.evicted
     }
 
     /// The entry of this key, unless it has expired.
     pub fn find(&self, now: Duration, key: u64) -> Option<&Entry> {
-        self.keys.get(&key).map(|remembered| &remembered.entry).filter(|entry| !entry.is_over(now))
+        self.keys.get(&key).map(|remembered| &remembered.entry).filter(|entry| !entry.is_expired(now))
     }
 
     /// Remembers a job that is about to be sent, and returns what has to be written to the journal first. None if the key
     /// is known already: its window starts with the first send.
-    pub fn note(&mut self, now: Duration, mut entry: Entry) -> Option<SlotWrite> {
+    pub fn insert(&mut self, now: Duration, mut entry: Entry) -> Option<SlotWrite> {
         entry.sent = entry.sent.min(now); // entries of other processes may be from a clock that was ahead
-        if entry.is_over(now) || self.find(now, entry.key).is_some() {
+        if entry.is_expired(now) || self.find(now, entry.key).is_some() {
             return None;
         }
         // An expired key keeps its slot.
@@ -126,7 +126,7 @@
                 self.writes.pop_front();
                 continue;
             };
-            let is_expired = remembered.entry.is_over(now);
+            let is_expired = remembered.entry.is_expired(now);
             let has_capacity = !self.free_slots.is_empty() || self.keys.len() < self.max_keys();
             if !is_expired && has_capacity {
                 break;
--- a/crates/keys/src/record.rs
+++ b/crates/keys/src/record.rs
@@ -37,7 +37,7 @@
 impl Slot {
     fn anchor(&self) -> ClockAnchor {
         ClockAnchor {
-            boot: self.key.get(),
+            boot_id_hash: self.key.get(),
             unix: Duration::from_micros(self.sent_micros.get()),
             since_boot: Duration::from_micros(self.cell.get()),
             suspended_ms: self.zone.get(),
@@ -106,7 +106,7 @@
 /// Encodes the slot of the process's anchor.
 pub(crate) fn encode_anchor(anchor: &ClockAnchor) -> [u8; SLOT_BYTES] {
     with_checksum(Slot {
-        key: anchor.boot.into(),
+        key: anchor.boot_id_hash.into(),
         sent_micros: (anchor.unix.as_micros() as u64).into(),
         window_micros: U64::ZERO,
         cell: (anchor.since_boot.as_micros() as u64).into(),
@@ -129,7 +129,7 @@
 
 /// The contents of a journal file.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Contents {
+pub struct JournalContents {
     /// The entries, in the order of their slots.
     pub entries: Vec<Entry>,
     /// The number of slots that are neither empty nor have a valid checksum.
@@ -142,7 +142,7 @@
 ///
 /// # Errors
 /// Returns why the file as a whole can't be used.
-pub fn read(bytes: &[u8], zones_hash: u64) -> Result<Contents, JournalError> {
+pub fn decode(bytes: &[u8], zones_hash: u64) -> Result<JournalContents, JournalError> {
     if bytes.len() > MAX_BYTES {
         return Err(JournalError::TooLong(bytes.len()));
     }
@@ -156,7 +156,7 @@
     if header.zones_hash.get() != zones_hash {
         return Err(JournalError::OtherZones);
     }
-    let mut contents = Contents::default();
+    let mut contents = JournalContents::default();
     for bytes in slots.chunks(SLOT_BYTES) {
         match Slot::ref_from_bytes(bytes) {
             Ok(slot) if slot.checksum.get() == checksum(slot) => {
--- a/crates/keys/tests/keys.rs
+++ b/crates/keys/tests/keys.rs
@@ -1,8 +1,8 @@
 //! Remembered keys: their windows, their limit, and how journals outlive the process.
 
 use curlewhub_keys::{
-    Contents, Entry, Journal, JournalError, Memory, OtherJournals, SlotWrite, encode_header, hash, read,
-    zones_hash,
+    Entry, Journal, JournalContents, JournalError, KeyTable, OtherJournals, SlotWrite, decode,
+    encode_header, hash, zones_hash,
 };
 use proptest::prelude::*;
 use std::collections::HashMap;
@@ -34,55 +34,55 @@
 
 #[test]
 fn a_key_is_known_for_its_window_from_its_first_send() {
-    let mut memory = Memory::default();
+    let mut table = KeyTable::default();
     let second = Duration::from_secs(1);
-    assert!(memory.note(NOW, entry(1, 3, NOW)).is_some());
-    assert_eq!(memory.note(NOW + second, entry(1, 4, NOW + second)), None, "the first send counts");
-    assert_eq!(memory.find(NOW + second * 5, 1).unwrap().zone, 3);
-    assert_eq!(memory.find(NOW + second * 6, 1), None);
-    let again = memory.note(NOW + second * 6, entry(1, 4, NOW + second * 6)).unwrap();
-    assert_eq!((again.slot, memory.len()), (0, 1), "it keeps its slot");
-    assert_eq!(memory.find(NOW + second * 7, 1).unwrap().zone, 4);
+    assert!(table.insert(NOW, entry(1, 3, NOW)).is_some());
+    assert_eq!(table.insert(NOW + second, entry(1, 4, NOW + second)), None, "the first send counts");
+    assert_eq!(table.find(NOW + second * 5, 1).unwrap().zone, 3);
+    assert_eq!(table.find(NOW + second * 6, 1), None);
+    let again = table.insert(NOW + second * 6, entry(1, 4, NOW + second * 6)).unwrap();
+    assert_eq!((again.slot, table.len()), (0, 1), "it keeps its slot");
+    assert_eq!(table.find(NOW + second * 7, 1).unwrap().zone, 4);
 }
 
 #[test]
 fn a_job_that_did_not_run_is_forgotten_and_its_slot_is_reused() {
-    let mut memory = Memory::default();
-    memory.note(NOW, entry(1, 1, NOW));
-    assert_eq!(memory.forget(1), Some(SlotWrite { slot: 0, entry: None }));
-    assert_eq!(memory.find(NOW, 1), None);
-    assert_eq!(memory.forget(1), None);
-    assert_eq!(memory.note(NOW, entry(2, 1, NOW)).unwrap().slot, 0);
+    let mut table = KeyTable::default();
+    table.insert(NOW, entry(1, 1, NOW));
+    assert_eq!(table.forget(1), Some(SlotWrite { slot: 0, entry: None }));
+    assert_eq!(table.find(NOW, 1), None);
+    assert_eq!(table.forget(1), None);
+    assert_eq!(table.insert(NOW, entry(2, 1, NOW)).unwrap().slot, 0);
 }
 
 #[test]
 fn a_time_in_the_future_is_taken_for_now() {
-    let mut memory = Memory::default();
-    memory.note(NOW, entry(1, 1, NOW + Duration::from_secs(60)));
-    assert!(memory.find(NOW + Duration::from_secs(5), 1).is_some());
-    assert!(memory.find(NOW + Duration::from_secs(6), 1).is_none());
+    let mut table = KeyTable::default();
+    table.insert(NOW, entry(1, 1, NOW + Duration::from_secs(60)));
+    assert!(table.find(NOW + Duration::from_secs(5), 1).is_some());
+    assert!(table.find(NOW + Duration::from_secs(6), 1).is_none());
 }
 
 #[test]
 fn beyond_the_limit_the_oldest_key_is_evicted_and_counted() {
-    let mut memory = Memory::holding(3);
+    let mut table = KeyTable::with_max_keys(3);
     for key in 0..5 {
-        memory.note(NOW, entry(key, 1, NOW));
+        table.insert(NOW, entry(key, 1, NOW));
     }
-    assert_eq!((memory.len(), memory.lost()), (3, 2));
-    assert!(memory.find(NOW, 1).is_none() && memory.find(NOW, 2).is_some());
+    assert_eq!((table.len(), table.evicted()), (3, 2));
+    assert!(table.find(NOW, 1).is_none() && table.find(NOW, 2).is_some());
 }
 
 #[test]
 fn a_file_outlives_its_process_and_is_cleared_once_it_is_old() {
     let folder = Folder::new("outlives");
     let zones = zones_hash(&["a".to_owned(), "b".to_owned()]);
-    let mut memory = Memory::default();
+    let mut table = KeyTable::default();
     let first = Journal::create(&folder.0, "s", NOW, zones).unwrap();
     for key in 0..3 {
-        first.write(&memory.note(NOW, entry(key, key as u32, NOW)).unwrap()).unwrap();
+        first.write(&table.insert(NOW, entry(key, key as u32, NOW)).unwrap()).unwrap();
     }
-    first.write(&memory.forget(1).unwrap()).unwrap();
+    first.write(&table.forget(1).unwrap()).unwrap();
     drop(first);
     let second = Journal::create(&folder.0, "s", NOW + Duration::from_secs(1), zones).unwrap();
     let others = OtherJournals::new(&folder.0, "s", Some(&second), zones);
@@ -92,8 +92,8 @@
     assert!(other_sidecar.read().0.is_empty(), "journals of another sidecar are left out");
     let (found, problems) = OtherJournals::new(&folder.0, "s", Some(&second), 7).read();
     assert!(found.is_empty() && problems[0].contains("of other zones"), "{problems:?}");
-    assert_eq!(others.clear(Duration::from_secs(3600)), 0);
-    assert_eq!(others.clear(Duration::ZERO), 1);
+    assert_eq!(others.remove_expired(Duration::from_secs(3600)), 0);
+    assert_eq!(others.remove_expired(Duration::ZERO), 1);
     assert!(second.path().exists() && others.read().0.is_empty());
     assert!(Journal::create(&folder.0.join("none"), "s", NOW, zones).is_err());
 }
@@ -101,16 +101,20 @@
 #[test]
 fn bytes_that_are_no_journal_are_rejected_with_a_specific_error() {
     let header = encode_header(9);
-    assert_eq!(read(b"CLHK", 9), Err(JournalError::NotAJournal));
-    assert_eq!(read(&[1; 64], 9), Err(JournalError::NotAJournal));
-    assert_eq!(read(&header, 8), Err(JournalError::OtherZones));
+    assert_eq!(decode(b"CLHK", 9), Err(JournalError::NotAJournal));
+    assert_eq!(decode(&[1; 64], 9), Err(JournalError::NotAJournal));
+    assert_eq!(decode(&header, 8), Err(JournalError::OtherZones));
     let mut newer = header.clone();
     newer[4] = 2;
-    assert_eq!(read(&newer, 9), Err(JournalError::Version(2)));
-    assert_eq!(read(&header, 9), Ok(Contents::default()));
+    assert_eq!(decode(&newer, 9), Err(JournalError::Version(2)));
+    assert_eq!(decode(&header, 9), Ok(JournalContents::default()));
     let torn = [&header[..], &[7; 39]].concat();
-    assert_eq!(read(&torn, 9), Ok(Contents { corrupt: 1, ..Contents::default() }), "half a record");
-    assert!(matches!(read(&vec![0; 4_000_000], 9), Err(JournalError::TooLong(_))));
+    assert_eq!(
+        decode(&torn, 9),
+        Ok(JournalContents { corrupt: 1, ..JournalContents::default() }),
+        "half a record"
+    );
+    assert!(matches!(decode(&vec![0; 4_000_000], 9), Err(JournalError::TooLong(_))));
 }
 
 #[test]
@@ -121,13 +125,13 @@
 }
 
 proptest! {
-    /// The slots always contain exactly what the memory knows, and both agree with a plain map.
+    /// The slots always contain exactly what the table knows, and both agree with a plain map.
     #[test]
-    fn slots_memory_and_a_plain_map_agree(
+    fn slots_table_and_a_plain_map_agree(
         steps in prop::collection::vec((0..40u64, 0..3u8, 0..900u64), 0..300),
         capacity in 1..30usize,
     ) {
-        let mut memory = Memory::holding(capacity);
+        let mut table = KeyTable::with_max_keys(capacity);
         let mut slots: HashMap<u32, Option<Entry>> = HashMap::new();
         let mut plain: HashMap<u64, Entry> = HashMap::new();
         let mut now = NOW;
@@ -135,26 +139,26 @@
             now += Duration::from_millis(wait);
             let written = if action == 0 {
                 plain.remove(&key);
-                memory.forget(key)
+                table.forget(key)
             } else {
                 let new = entry(key, u32::from(action), now);
-                if plain.get(&key).is_none_or(|old| old.is_over(now)) {
+                if plain.get(&key).is_none_or(|old| old.is_expired(now)) {
                     plain.insert(key, new);
                 }
-                memory.note(now, new)
+                table.insert(now, new)
             };
             if let Some(SlotWrite { slot, entry }) = written {
                 prop_assert!((slot as usize) < capacity, "slot {slot} of {capacity}");
                 slots.insert(slot, entry);
             }
-            let mut stored: Vec<Entry> = slots.values().flatten().filter(|e| !e.is_over(now)).copied().collect();
+            let mut stored: Vec<Entry> = slots.values().flatten().filter(|e| !e.is_expired(now)).copied().collect();
             stored.sort_by_key(|entry| entry.key);
-            let mut known: Vec<Entry> = (0..40).filter_map(|key| memory.find(now, key)).copied().collect();
+            let mut known: Vec<Entry> = (0..40).filter_map(|key| table.find(now, key)).copied().collect();
             known.sort_by_key(|entry| entry.key);
             prop_assert_eq!(&stored, &known, "the slots are what is remembered");
-            prop_assert!(memory.len() <= capacity);
-            if memory.lost() == 0 {
-                let mut plain: Vec<Entry> = plain.values().filter(|e| !e.is_over(now)).copied().collect();
+            prop_assert!(table.len() <= capacity);
+            if table.evicted() == 0 {
+                let mut plain: Vec<Entry> = plain.values().filter(|e| !e.is_expired(now)).copied().collect();
                 plain.sort_by_key(|entry| entry.key);
                 prop_assert_eq!(plain, known);
             }
@@ -163,8 +167,8 @@
 
     #[test]
     fn no_bytes_make_the_reader_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        let _ = read(&bytes, 9);
-        let contents = read(&[encode_header(9), bytes].concat(), 9).unwrap();
+        let _ = decode(&bytes, 9);
+        let contents = decode(&[encode_header(9), bytes].concat(), 9).unwrap();
         prop_assert!(contents.entries.is_empty(), "a checksum does not fit by chance");
     }
 }
--- a/crates/keys/tests/storage.rs
+++ b/crates/keys/tests/storage.rs
@@ -1,8 +1,8 @@
 //! Journals on failing disks, after kills in the middle of a write, and over steps of the wall clock.
 
 use curlewhub_keys::{
-    ClockAnchor, Entry, Journal, JournalFolder, MAX_KEYS, Memory, OtherJournals, RETRY_INTERVAL,
-    RetryingJournal, read, shift,
+    ClockAnchor, Entry, Journal, JournalFolder, KeyTable, MAX_KEYS, OtherJournals, RETRY_INTERVAL,
+    RetryingJournal, decode, shift,
 };
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -56,13 +56,13 @@
     ClockAnchor::new(b"a boot", unix, since_boot, since_boot)
 }
 
-fn write(own: &mut RetryingJournal, memory: &mut Memory, key: u64) -> std::io::Result<()> {
-    own.write(NOW, &memory.note(NOW, entry(key, NOW)).unwrap())
+fn write(own: &mut RetryingJournal, table: &mut KeyTable, key: u64) -> std::io::Result<()> {
+    own.write(NOW, &table.insert(NOW, entry(key, NOW)).unwrap())
 }
 
 #[test]
 fn a_journal_without_an_anchor_is_read() {
-    let contents = read(JOURNAL_WITHOUT_ANCHOR, ZONES_HASH).unwrap();
+    let contents = decode(JOURNAL_WITHOUT_ANCHOR, ZONES_HASH).unwrap();
     assert_eq!(contents.entries, [0, 2, 3].map(|key| entry(key, NOW)));
     assert_eq!((contents.corrupt, contents.anchor), (0, None));
 }
@@ -72,7 +72,7 @@
     let folder = Folder::new("anchor");
     let (mut own, problem) = RetryingJournal::open(folder.location(), NOW, Some(anchor(NOW, SECOND)));
     assert!(problem.is_none());
-    write(&mut own, &mut Memory::default(), 1).unwrap();
+    write(&mut own, &mut KeyTable::default(), 1).unwrap();
     let bytes = std::fs::read(own.path()).unwrap();
     assert_eq!(bytes.len(), HEADER_BYTES + 2 * SLOT_BYTES);
     let word = |at: usize| u64::from_le_bytes(bytes[at..at + 8].try_into().unwrap());
@@ -83,9 +83,9 @@
         sent: Duration::from_micros(word(HEADER_BYTES + 8)),
         window: Duration::from_micros(word(HEADER_BYTES + 16)),
     };
-    assert_eq!((as_key.window, Memory::default().note(NOW, as_key)), (Duration::ZERO, None));
+    assert_eq!((as_key.window, KeyTable::default().insert(NOW, as_key)), (Duration::ZERO, None));
     // All slots and the anchor are no longer than a file of that version may be.
-    assert!(read(&vec![0; HEADER_BYTES + 65_536 * SLOT_BYTES + 1], ZONES_HASH).is_err());
+    assert!(decode(&vec![0; HEADER_BYTES + 65_536 * SLOT_BYTES + 1], ZONES_HASH).is_err());
     assert_eq!(MAX_KEYS + 1, 65_536);
 }
 
@@ -95,11 +95,11 @@
     std::fs::remove_dir(&folder.0).unwrap();
     let (mut own, problem) = RetryingJournal::open(folder.location(), NOW, None);
     assert!(problem.is_some() && own.needs_retry());
-    let mut memory = Memory::default();
+    let mut table = KeyTable::default();
     for key in 0..1000 {
-        assert!(write(&mut own, &mut memory, key).is_err());
+        assert!(write(&mut own, &mut table, key).is_err());
     }
-    own.write(NOW, &memory.forget(500).unwrap()).unwrap_err();
+    own.write(NOW, &table.forget(500).unwrap()).unwrap_err();
     std::fs::create_dir(&folder.0).unwrap();
     assert!(own.retry(NOW).is_err(), "not before the interval has passed");
     own.retry(NOW + RETRY_INTERVAL).unwrap();
@@ -112,13 +112,13 @@
     let folder = Folder::new("next");
     std::fs::remove_dir(&folder.0).unwrap();
     let (mut own, _) = RetryingJournal::open(folder.location(), NOW, None);
-    let mut memory = Memory::default();
+    let mut table = KeyTable::default();
     for key in 0..300 {
-        assert!(write(&mut own, &mut memory, key).is_err());
+        assert!(write(&mut own, &mut table, key).is_err());
     }
     std::fs::create_dir(&folder.0).unwrap();
     let later = NOW + RETRY_INTERVAL;
-    own.write(later, &memory.note(later, entry(300, later)).unwrap()).unwrap();
+    own.write(later, &table.insert(later, entry(300, later)).unwrap()).unwrap();
     assert!((1..300).contains(&own.dirty_slots()), "{} are dirty", own.dirty_slots());
     own.retry(later).unwrap();
     assert_eq!((own.dirty_slots(), folder.keys().len()), (0, 301));
@@ -133,15 +133,15 @@
     let folder = Folder::new("limit");
     let (mut own, problem) = RetryingJournal::open(folder.location(), NOW, Some(anchor(NOW, SECOND)));
     assert!(problem.is_none());
-    let mut memory = Memory::default();
-    let failed: Vec<u64> = (0..60).filter(|key| write(&mut own, &mut memory, *key).is_err()).collect();
+    let mut table = KeyTable::default();
+    let failed: Vec<u64> = (0..60).filter(|key| write(&mut own, &mut table, *key).is_err()).collect();
     assert!(failed.len() > 10 && failed.len() < 50, "{failed:?}");
     assert_eq!(own.dirty_slots(), failed.len());
     let written: BTreeSet<u64> = (0..60).filter(|key| !failed.contains(key)).collect();
     assert_eq!(folder.keys(), written, "one slot is half written, and the others are intact");
     // A slot within the limit can still be written; a dirty one gets its newest value once the limit is lifted.
-    own.write(NOW, &memory.forget(0).unwrap()).unwrap();
-    own.write(NOW, &memory.forget(59).unwrap()).unwrap_err();
+    own.write(NOW, &table.forget(0).unwrap()).unwrap();
+    own.write(NOW, &table.forget(59).unwrap()).unwrap_err();
     assert!(own.retry(NOW).is_err());
     let process = std::process::id().to_string();
     let lifted = Command::new("prlimit").args(["--fsize=unlimited", "--pid", &process]).status().unwrap();
@@ -168,15 +168,15 @@
 
 /// The entries that a reader finds in these bytes; none if they can't be read.
 fn read_entries(bytes: &[u8]) -> Vec<Entry> {
-    read(bytes, ZONES_HASH).map(|contents| contents.entries).unwrap_or_default()
+    decode(bytes, ZONES_HASH).map(|contents| contents.entries).unwrap_or_default()
 }
 
 #[test]
 fn a_kill_at_any_byte_affects_only_the_slot_that_was_being_written() {
     let folder = Folder::new("cut");
     let (mut own, _) = RetryingJournal::open(folder.location(), NOW, Some(anchor(NOW, SECOND)));
-    let mut memory = Memory::default();
-    (0..4).for_each(|key| write(&mut own, &mut memory, key).unwrap());
+    let mut table = KeyTable::default();
+    (0..4).for_each(|key| write(&mut own, &mut table, key).unwrap());
     let whole = std::fs::read(own.path()).unwrap();
     let all = read_entries(&whole);
     assert_eq!(all.len(), 4);
@@ -187,9 +187,9 @@
     // The third slot is overwritten, by another key or by an empty slot, and the process is killed in between.
     let at = HEADER_BYTES + 3 * SLOT_BYTES;
     for forget in [true, false] {
-        own.write(NOW, &memory.forget(2).unwrap()).unwrap();
+        own.write(NOW, &table.forget(2).unwrap()).unwrap();
         if !forget {
-            write(&mut own, &mut memory, 7).unwrap();
+            write(&mut own, &mut table, 7).unwrap();
         }
         let over = std::fs::read(own.path()).unwrap();
         for done in 0..=SLOT_BYTES {
@@ -201,8 +201,8 @@
             assert_eq!(kept, expected, "{done} bytes");
             assert!(left.iter().all(|entry| all.contains(entry) || read_entries(&over).contains(entry)));
         }
-        memory = Memory::default();
-        (0..4).for_each(|key| assert!(memory.note(NOW, entry(key, NOW)).is_some()));
+        table = KeyTable::default();
+        (0..4).for_each(|key| assert!(table.insert(NOW, entry(key, NOW)).is_some()));
     }
 }
 
@@ -219,23 +219,23 @@
     }
 }
 
-/// The memory of a process that starts `age` after another one sent a key; the wall clock is stepped in between.
-fn successor(folder: &Path, age: Duration, step_micros: i64, same_boot: bool) -> (Memory, Duration) {
+/// The table of a process that starts `age` after another one sent a key; the wall clock is stepped in between.
+fn successor(folder: &Path, age: Duration, step_micros: i64, same_boot: bool) -> (KeyTable, Duration) {
     let location =
         JournalFolder { folder: folder.to_owned(), sidecar: "s".to_owned(), zones_hash: ZONES_HASH };
     let up = Duration::from_secs(5000);
     let (mut own, _) = RetryingJournal::open(location, NOW, Some(anchor(NOW, up)));
     let sent = NOW + SECOND;
-    own.write(sent, &Memory::default().note(sent, entry(1, sent)).unwrap()).unwrap();
+    own.write(sent, &KeyTable::default().insert(sent, entry(1, sent)).unwrap()).unwrap();
     drop(own);
     let now = shift(sent + age, step_micros);
-    let boot: &[u8] = if same_boot { b"a boot" } else { b"another" };
-    let clock = ClockAnchor::new(boot, now, up + SECOND + age, up + SECOND + age);
-    let mut memory = Memory::default();
-    for found in OtherJournals::new(folder, "s", None, ZONES_HASH).read_on(Some(&clock)).0 {
-        memory.note(now, found);
+    let boot_id: &[u8] = if same_boot { b"a boot" } else { b"another" };
+    let clock = ClockAnchor::new(boot_id, now, up + SECOND + age, up + SECOND + age);
+    let mut table = KeyTable::default();
+    for found in OtherJournals::new(folder, "s", None, ZONES_HASH).read_with_clock(Some(&clock)).0 {
+        table.insert(now, found);
     }
-    (memory, now)
+    (table, now)
 }
 
 #[test]
@@ -244,9 +244,9 @@
         for age in [0, 1, 5, 6, 7] {
             let folder = Folder::new("step");
             let age = Duration::from_secs(age);
-            let (memory, now) = successor(&folder.0, age, step * 1_000_000, true);
-            assert_eq!(memory.find(now, 1).is_some(), age < WINDOW, "step {step} s, sent {age:?} ago");
-            assert!(memory.find(now + WINDOW.saturating_sub(age), 1).is_none(), "step {step} s, {age:?}");
+            let (table, now) = successor(&folder.0, age, step * 1_000_000, true);
+            assert_eq!(table.find(now, 1).is_some(), age < WINDOW, "step {step} s, sent {age:?} ago");
+            assert!(table.find(now + WINDOW.saturating_sub(age), 1).is_none(), "step {step} s, {age:?}");
         }
     }
 }
@@ -254,8 +254,8 @@
 #[test]
 fn clocks_of_another_boot_or_over_a_suspension_are_not_compared() {
     let folder = Folder::new("boot");
-    let (memory, now) = successor(&folder.0, SECOND, 0, false);
-    assert!(memory.find(now, 1).is_some());
+    let (table, now) = successor(&folder.0, SECOND, 0, false);
+    assert!(table.find(now, 1).is_some());
     let suspended = |since_boot: u64, ran: u64| {
         ClockAnchor::new(b"a boot", NOW, Duration::from_secs(since_boot), Duration::from_secs(ran))
     };
@@ -272,14 +272,14 @@
     let folder = Folder::new("clear");
     let up = Duration::from_secs(5000);
     let (mut own, _) = RetryingJournal::open(folder.location(), NOW, Some(anchor(NOW, up)));
-    write(&mut own, &mut Memory::default(), 1).unwrap();
+    write(&mut own, &mut KeyTable::default(), 1).unwrap();
     let clear = |real: Duration, step: i64| {
         let now = shift(NOW + real, step * 1_000_000);
         let clock = anchor(now, up + real);
-        folder.others().clear_on(Duration::from_secs(66), Some((&clock, now)))
+        folder.others().remove_expired_with_clock(Duration::from_secs(66), Some((&clock, now)))
     };
     assert_eq!(clear(Duration::from_secs(7200), 0), 0, "its process is alive and was only idle");
-    assert_eq!(folder.others().clear(Duration::ZERO), 0, "the same by modification time");
+    assert_eq!(folder.others().remove_expired(Duration::ZERO), 0, "the same by modification time");
     drop(own);
     assert_eq!(clear(SECOND, 3600) + clear(SECOND, -3600) + clear(Duration::from_secs(60), 0), 0);
     assert_eq!(clear(Duration::from_secs(70), -3600), 1);
--- a/crates/keys/tests/stored_forms.rs
+++ b/crates/keys/tests/stored_forms.rs
@@ -3,7 +3,7 @@
 #[path = "../../control-plane/tests/support/fixture.rs"]
 mod fixture;
 
-use curlewhub_keys::{Entry, Journal, SlotWrite, hash, read, zones_hash};
+use curlewhub_keys::{Entry, Journal, SlotWrite, decode, hash, zones_hash};
 use fixture::{assert_same, hex, unhex, values};
 use std::time::Duration;
 
@@ -51,6 +51,6 @@
 
 #[test]
 fn a_journal_of_the_earlier_build_is_read() {
-    let contents = read(&unhex(&values("journal.txt")[0].1), zones()).unwrap();
+    let contents = decode(&unhex(&values("journal.txt")[0].1), zones()).unwrap();
     assert_eq!((contents.entries, contents.corrupt), (vec![entry(0), entry(3)], 0));
 }
--- a/crates/model/src/process.rs
+++ b/crates/model/src/process.rs
@@ -2,7 +2,7 @@
 
 use crate::decider::Decider;
 use curlewhub_balance::AttemptNo;
-use curlewhub_keys::Memory;
+use curlewhub_keys::KeyTable;
 use curlewhub_overlap_quota::{Need, Shares};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -48,7 +48,7 @@
     pub(crate) shares: Shares,
     pub(crate) need: Need,
     /// Where keyed jobs may have run; used where that is lost with the process.
-    pub(crate) keys: Memory,
+    pub(crate) keys: KeyTable,
 }
 
 impl Process {
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -19,7 +19,7 @@
     Outcome, Request, RequestId, Snapshot, TenantId, TimerToken, ZoneId, ZoneRights,
 };
 use curlewhub_config::Repeat;
-use curlewhub_keys::{Entry, Memory};
+use curlewhub_keys::{Entry, KeyTable};
 use curlewhub_overlap_quota::LOOK_EVERY;
 use curlewhub_standins::machine::{Happened, Machine, Offered};
 use rand::Rng;
@@ -96,7 +96,7 @@
     /// By sidecar, its living processes, the oldest first.
     sidecars: Vec<Vec<usize>>,
     /// By sidecar, where keyed jobs may have run.
-    keys: Vec<Memory>,
+    keys: Vec<KeyTable>,
     calls: HashMap<u64, Call>,
     flights: HashMap<u64, Flight>,
     next_flight: u64,
@@ -122,7 +122,7 @@
             endpoints: Vec::new(),
             processes: Vec::new(),
             sidecars: Vec::new(),
-            keys: (0..scenario.sidecars).map(|_| Memory::default()).collect(),
+            keys: (0..scenario.sidecars).map(|_| KeyTable::default()).collect(),
             calls: HashMap::new(),
             flights: HashMap::new(),
             next_flight: 0,
--- a/crates/model/src/world/sidecars.rs
+++ b/crates/model/src/world/sidecars.rs
@@ -126,7 +126,7 @@
     }
 
     /// Where the jobs of a process's clients may have run: the sidecar's, or lost with the process.
-    pub(super) fn memory(&mut self, process: usize) -> &mut Memory {
+    pub(super) fn memory(&mut self, process: usize) -> &mut KeyTable {
         let host = &mut self.processes[process];
         let lost = self.scenario.replacements.iter().any(|replacement| !replacement.keys);
         if lost { &mut host.keys } else { &mut self.keys[host.sidecar] }
@@ -142,7 +142,7 @@
         }
         let (zone, now) = (self.endpoints[endpoint_index].zone, self.now);
         let entry = Entry { key: call, zone, cell: 0, sent: now, window: class.window.0 };
-        let noted = self.memory(process).note(now, entry).is_some();
+        let noted = self.memory(process).insert(now, entry).is_some();
         if let Some(open) = self.processes[process].open.get_mut(&request) {
             open.noted |= noted;
         }
--- a/crates/runtime/src/idempotency_keys.rs
+++ b/crates/runtime/src/idempotency_keys.rs
@@ -7,7 +7,7 @@
 use crate::figures::Figures;
 use curlewhub_balance::{CellId, ClassId, Earlier, Group, Semantics, Settings, ZoneId};
 use curlewhub_keys::{
-    Entry, JournalFolder, Memory, Others, OwnJournal, RETRY_INTERVAL, SlotWrite, zones_hash,
+    Entry, JournalFolder, KeyTable, OtherJournals, RETRY_INTERVAL, RetryingJournal, SlotWrite, zones_hash,
 };
 use std::net::SocketAddr;
 use std::path::Path;
@@ -24,7 +24,7 @@
 pub struct IdempotencyKeys {
     /// By class, how long the endpoints of a group drop a repeat; none where a repeat may be sent anywhere.
     windows: Vec<Option<Duration>>,
-    memory: Memory,
+    memory: KeyTable,
     /// None if no class needs a journal.
     journals: Option<Journals>,
     clock: Clock,
@@ -37,8 +37,8 @@
 
 /// The journals in the state directory.
 struct Journals {
-    own: OwnJournal,
-    others: Others,
+    own: RetryingJournal,
+    others: OtherJournals,
     /// When unwritten slots are tried again; none if there are none.
     retry_at: Option<Instant>,
 }
@@ -72,7 +72,7 @@
         let journals = longest.map(|_| Journals::open(location, now, &clock));
         let mut keys = IdempotencyKeys {
             windows,
-            memory: Memory::default(),
+            memory: KeyTable::default(),
             journals,
             clock,
             figures,
@@ -82,7 +82,10 @@
         keys.import_journals(now);
         if let (Some(journals), Some(longest)) = (&keys.journals, longest) {
             let anchor = keys.clock.anchor();
-            journals.others.clear_on(longest + STALE_MARGIN, anchor.as_ref().map(|anchor| (anchor, now)));
+            journals.others.remove_expired_with_clock(
+                longest + STALE_MARGIN,
+                anchor.as_ref().map(|anchor| (anchor, now)),
+            );
             info!(keys = keys.memory.len(), "keys: read what processes before have left");
         }
         keys
@@ -91,10 +94,10 @@
     /// Adds the entries that other processes have written to their journals until now.
     pub fn import_journals(&mut self, now: Duration) {
         let Some(journals) = &self.journals else { return };
-        let (entries, problems) = journals.others.read_on(self.clock.anchor().as_ref());
+        let (entries, problems) = journals.others.read_with_clock(self.clock.anchor().as_ref());
         for entry in entries {
             // Also written to the own journal: the next process may find no other.
-            let write = self.memory.note(now, entry);
+            let write = self.memory.insert(now, entry);
             self.write(now, write);
         }
         if let Some(problem) = problems.first().filter(|_| !self.read_failing) {
@@ -144,7 +147,7 @@
     ) -> bool {
         let Some(window) = self.windows.get(class.0).copied().flatten() else { return false };
         let entry = Entry { key, zone: zone.0, cell: cell.0, sent: now, window };
-        let write = self.memory.note(now, entry);
+        let write = self.memory.insert(now, entry);
         self.write(now, write);
         write.is_some()
     }
@@ -170,8 +173,8 @@
 
 impl Journals {
     fn open(location: JournalFolder, now: Duration, clock: &Clock) -> Journals {
-        let mut others = Others::new(&location.folder, &location.sidecar, None, location.zones_hash);
-        let (own, problem) = OwnJournal::open(location, now, clock.anchor());
+        let mut others = OtherJournals::new(&location.folder, &location.sidecar, None, location.zones_hash);
+        let (own, problem) = RetryingJournal::open(location, now, clock.anchor());
         if let Some(error) = problem {
             warn!(%error, "keys: no journal; repeats of jobs that a crash cuts off may run twice");
         }
@@ -184,7 +187,7 @@
     /// Schedules the next retry, if a slot is unwritten.
     fn schedule_retry(&mut self) {
         self.retry_at = match self.retry_at {
-            _ if !self.own.is_owing() => None,
+            _ if !self.own.needs_retry() => None,
             Some(at) if at > Instant::now() => Some(at),
             _ => Some(Instant::now() + RETRY_INTERVAL),
         };
--- a/crates/runtime/src/learned_state.rs
+++ b/crates/runtime/src/learned_state.rs
@@ -6,7 +6,7 @@
 use crate::figures::Figures;
 use crate::lifecycle::{Lifecycle, State};
 use curlewhub_keys::ClockAnchor;
-use curlewhub_snapshot::{Store, appendix, decode_moved, encode_with};
+use curlewhub_snapshot::{Store, appendix, decode_corrected, encode_with_appendix};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -56,7 +56,7 @@
         self.commands.send(Command::CaptureSnapshot(reply)).ok()?;
         let snapshot = timeout(DRIVER_TIMEOUT, captured).await.ok()?.ok()?;
         let anchor = self.clock.anchor().map(|anchor| anchor.to_bytes()).unwrap_or_default();
-        encode_with(&snapshot, self.fingerprint, &anchor)
+        encode_with_appendix(&snapshot, self.fingerprint, &anchor)
             .map_err(|refused| warn!(%refused, "snapshot: not taken"))
             .ok()
     }
@@ -64,7 +64,7 @@
     /// Restores the state from an encoded snapshot; whether that succeeded. `from` names the source in the log.
     pub async fn restore(&self, bytes: &[u8], from: &'static str) -> bool {
         let now = self.clock.now();
-        let snapshot = match decode_moved(bytes, self.fingerprint, now, self.clock_correction(bytes)) {
+        let snapshot = match decode_corrected(bytes, self.fingerprint, now, self.clock_correction(bytes)) {
             Ok(snapshot) => snapshot,
             Err(refused) => {
                 warn!(from, reason = %refused, "snapshot: refused; starting without");
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -211,8 +211,8 @@
 /// The old name of [`MAX_BYTES`], for one release.
 pub use MAX_BYTES as BYTES_MOST;
 
-/// The old name of [`decode_corrected`], until `runtime` uses the new one.
+/// The old name of [`decode_corrected`], for one release.
 pub use decode_corrected as decode_moved;
 
-/// The old name of [`encode_with_appendix`], until `runtime` uses the new one.
+/// The old name of [`encode_with_appendix`], for one release.
 pub use encode_with_appendix as encode_with;
