--- a/crates/adapter/src/fields.rs
+++ b/crates/adapter/src/fields.rs
@@ -1,4 +1,4 @@
-//! The fields of one line, read from left to right; each error names its line and field.
+//! Reads the fields of one line from left to right. Each error names its line and field.
 
 use crate::WireError;
 use curlewhub_balance::Outcome;
@@ -6,7 +6,7 @@
 use std::str::{FromStr, Split};
 use std::time::Duration;
 
-/// The fields of a line that are not read yet.
+/// The fields of a line that have not been read yet.
 pub(crate) struct Fields<'a> {
     pub(crate) line: u64,
     remaining: Split<'a, char>,
@@ -33,8 +33,13 @@
         Ok(Some(self.text(field)?).filter(|text| *text != "-"))
     }
 
-    pub(crate) fn parsed<T: FromStr>(&self, field: &str, text: &str, wanted: &str) -> Result<T, WireError> {
-        text.parse().map_err(|_| self.error(field, format!("`{text}` is not {wanted}")))
+    pub(crate) fn parsed<T: FromStr>(
+        &self,
+        field: &str,
+        text: &str,
+        expected: &str,
+    ) -> Result<T, WireError> {
+        text.parse().map_err(|_| self.error(field, format!("`{text}` is not {expected}")))
     }
 
     pub(crate) fn integer<T: FromStr>(&mut self, field: &str) -> Result<T, WireError> {
--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire, parsed and printed. Nothing here decides anything.
+//! Parses and formats the simulator's line protocol. All decisions are made in `curlewhub-balance`.
 #![warn(clippy::too_many_lines)]
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -8,80 +8,80 @@
 mod print;
 
 pub use parse::parse;
-pub use print::{print, print_fault};
+pub use print::{format_action, format_panic};
 
 use curlewhub_balance::{EndpointInfo, Event, Settings};
 use std::time::Duration;
 use thiserror::Error;
 
-/// What is wrong with a line of input.
+/// A malformed line of input.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("line {line}: field `{field}`: {problem}")]
 pub struct WireError {
-    /// Number of the line, from 1.
+    /// Line number, counted from 1.
     pub line: u64,
-    /// The field at fault.
+    /// Name of the invalid field.
     pub field: String,
-    /// What is wrong with it.
+    /// Description of the problem.
     pub problem: String,
 }
 
 /// One line of input.
 #[derive(Debug)]
 pub enum Line {
-    /// A batch begins, at this time.
+    /// Begins a batch of events at the given time.
     Turn(Duration),
-    /// The batch is complete.
+    /// Ends the batch.
     Flush,
-    /// A numbered list begins; so many entries follow.
+    /// Begins a numbered endpoint list, whose entries follow on the next lines.
     Table {
-        /// Its number.
+        /// Number of the list.
         bank: u8,
-        /// Entries that follow.
+        /// Number of entries that follow.
         entries: usize,
     },
-    /// An entry of a list.
+    /// An entry of the list that was begun last.
     Entry(EndpointInfo),
-    /// An instance starts.
+    /// Starts a balancer instance.
     Spawn {
         /// The instance.
         instance: u32,
-        /// Its seed.
+        /// Seed of its random generator.
         seed: u64,
         /// Its settings.
         settings: Box<Settings>,
     },
-    /// An instance was killed.
+    /// Removes an instance, because the simulator has killed it.
     Detach(u32),
-    /// Discovery's news for an instance.
+    /// A discovery update for an instance.
     Targets {
         /// The instance.
         instance: u32,
-        /// What sort of news.
+        /// Kind of update.
         mode: ListMode,
-        /// The list that holds the entries.
+        /// Number of the list that holds the entries.
         bank: u8,
     },
-    /// Any other event, with the request's name where it has one.
+    /// Any other event, with the name of its request if it concerns one.
     Event {
         /// The instance.
         instance: u32,
-        /// The request's name on the wire.
+        /// Name of the request in the protocol.
         name: Option<String>,
-        /// What happened; a request's id is filled in by the host.
+        /// The event; the host fills in the request's id.
         event: Event,
     },
 }
 
-/// The sorts of discovery news.
+/// The kinds of discovery update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListMode {
-    /// `D`
+    /// `D`: changed entries only.
     Changes,
-    /// `F`
+    /// `F`: the complete list.
     Full,
-    /// `C`
+    /// `C`: a complete list that may be out of date.
     Cached,
-    /// `X`
+    /// `X`: the discovery call failed.
     Failed,
 }
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,8 +1,9 @@
-//! Hosts balancer instances for the simulator: batches on standard input, replies on standard output.
+//! Hosts balancer instances for the simulator: reads batches of events from standard input and writes the
+//! resulting actions to standard output.
 #![warn(clippy::too_many_lines)]
 #![forbid(unsafe_code)]
 
-use curlewhub_adapter::{self as wire, Line, ListMode, WireError};
+use curlewhub_adapter::{self as protocol, Line, ListMode, WireError};
 use curlewhub_balance::{
     Action, Balancer, EndpointInfo, EndpointNames, Event, Membership, RequestId, Settings, SettingsError,
 };
@@ -13,7 +14,7 @@
 use std::time::Duration;
 
 fn main() -> ExitCode {
-    // A panic of the module is reported on the wire; the default hook's trace would only add noise.
+    // A panic of a balancer is reported in the reply; the default hook would print it to stderr too.
     std::panic::set_hook(Box::new(|_| {}));
     match serve(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
@@ -24,17 +25,17 @@
     }
 }
 
-/// A request that the wire may still speak of.
-struct Known {
+/// A request that later messages may still refer to.
+struct TrackedRequest {
     name: String,
-    attempts_out: u32,
+    open_attempts: u32,
     finished: bool,
 }
 
 struct Instance {
     balancer: Balancer,
     ids: HashMap<String, RequestId>,
-    known: HashMap<RequestId, Known>,
+    tracked: HashMap<RequestId, TrackedRequest>,
     next_request: u64,
     classes: usize,
     tenants: usize,
@@ -45,8 +46,8 @@
     names: EndpointNames,
     instances: HashMap<u32, Instance>,
     tables: HashMap<u8, Vec<EndpointInfo>>,
-    /// The table being read and the entries still missing from it.
-    filling: Option<(u8, usize)>,
+    /// Number of the table that is being read, and how many of its entries are still missing.
+    incomplete_table: Option<(u8, usize)>,
     now: Option<Duration>,
     actions: Vec<Action>,
     reply: String,
@@ -59,7 +60,7 @@
     for (number, line) in (1..).zip(input.split(b'\n')) {
         let bytes = line.map_err(|e| format!("line {number}: {e}"))?;
         let text = std::str::from_utf8(&bytes).map_err(|e| format!("line {number}: field `text`: {e}"))?;
-        host.take(number, text).map_err(|e| e.to_string())?;
+        host.handle_line(number, text).map_err(|e| e.to_string())?;
         if host.now.is_none() {
             output
                 .write_all(host.reply.as_bytes())
@@ -84,9 +85,9 @@
 }
 
 impl Host {
-    fn take(&mut self, number: u64, text: &str) -> Result<(), WireError> {
-        let line = wire::parse(number, text, &mut self.names)?;
-        if self.filling.is_some() != matches!(line, Line::Entry(_)) {
+    fn handle_line(&mut self, number: u64, text: &str) -> Result<(), WireError> {
+        let line = protocol::parse(number, text, &mut self.names)?;
+        if self.incomplete_table.is_some() != matches!(line, Line::Entry(_)) {
             return Err(error(number, "message", "entries and the table they belong to do not match"));
         }
         let now = match (&line, self.now) {
@@ -106,12 +107,12 @@
             }
             Line::Table { bank, entries } => {
                 self.tables.insert(bank, Vec::new());
-                self.filling = (entries > 0).then_some((bank, entries));
+                self.incomplete_table = (entries > 0).then_some((bank, entries));
             }
             Line::Entry(entry) => {
-                if let Some((bank, missing)) = self.filling {
+                if let Some((bank, missing)) = self.incomplete_table {
                     self.tables.entry(bank).or_default().push(entry);
-                    self.filling = (missing > 1).then_some((bank, missing - 1));
+                    self.incomplete_table = (missing > 1).then_some((bank, missing - 1));
                 }
             }
             Line::Spawn { instance, seed, settings } => {
@@ -125,14 +126,14 @@
                 }
             }
             Line::Targets { instance, mode, bank } => {
-                let news = self.news(number, mode, bank)?;
-                self.run(number, now, instance, Event::Membership(news))?;
+                let update = self.membership_update(number, mode, bank)?;
+                self.run(number, now, instance, Event::Membership(update))?;
             }
             Line::Event { instance, name, mut event } => {
                 let host =
                     self.instances.get_mut(&instance).ok_or_else(|| not_running(number, instance))?;
-                host.check(number, &event)?;
-                if host.translate(name, &mut event) {
+                host.check_indexes(number, &event)?;
+                if host.assign_request_id(name, &mut event) {
                     self.run(number, now, instance, event)?;
                 }
             }
@@ -140,17 +141,17 @@
         Ok(())
     }
 
-    /// Discovery's news, with the entries of a table that was sent before.
-    fn news(&self, number: u64, mode: ListMode, bank: u8) -> Result<Membership, WireError> {
-        let listed = || {
+    /// Builds a discovery update from the entries of a table that was sent earlier.
+    fn membership_update(&self, number: u64, mode: ListMode, bank: u8) -> Result<Membership, WireError> {
+        let entries = || {
             let table = self.tables.get(&bank).cloned();
             table.ok_or_else(|| error(number, "bank", format!("no table {bank} was sent")))
         };
         Ok(match mode {
             ListMode::Failed => Membership::Failed,
-            ListMode::Changes => Membership::Delta(listed()?),
-            ListMode::Full => Membership::Full(listed()?),
-            ListMode::Cached => Membership::Cached(listed()?),
+            ListMode::Changes => Membership::Delta(entries()?),
+            ListMode::Full => Membership::Full(entries()?),
+            ListMode::Cached => Membership::Cached(entries()?),
         })
     }
 
@@ -158,8 +159,8 @@
         let host = self.instances.get_mut(&instance).ok_or_else(|| not_running(number, instance))?;
         let actions = &mut self.actions;
         actions.clear();
-        let about = match &event {
-            Event::AttemptEnded(ended) => Some(ended.request),
+        let ended = match &event {
+            Event::AttemptEnded(attempt) => Some(attempt.request),
             Event::RequestGone(id) => Some(*id),
             _ => None,
         };
@@ -168,25 +169,26 @@
         if let Err(panic) = outcome {
             let problem = panic.downcast_ref::<String>().map(String::as_str);
             let problem = problem.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
-            self.reply.push_str(&wire::print_fault(instance, problem));
+            self.reply.push_str(&protocol::format_panic(instance, problem));
             self.reply.push('\n');
             return Ok(());
         }
         for action in &self.actions {
-            let request = host.note(action);
-            if let Some(line) = wire::print(instance, action, &request, &self.names) {
+            let request = host.record_action(action);
+            if let Some(line) = protocol::format_action(instance, action, &request, &self.names) {
                 self.reply.push_str(&line);
                 self.reply.push('\n');
             }
         }
-        for id in about.into_iter().chain(self.actions.iter().filter_map(about_request)) {
-            host.tidy(id);
+        for id in ended.into_iter().chain(self.actions.iter().filter_map(request_of)) {
+            host.forget_if_done(id);
         }
         Ok(())
     }
 }
 
-fn about_request(action: &Action) -> Option<RequestId> {
+/// The request that an action concerns.
+fn request_of(action: &Action) -> Option<RequestId> {
     match action {
         Action::Send { request, .. }
         | Action::Refuse { request, .. }
@@ -198,15 +200,15 @@
 
 impl Instance {
     fn start(settings: Settings, seed: u64, now: Duration) -> Result<Instance, SettingsError> {
-        // Without tenants, requests come with tenant 0 all the same.
+        // Requests carry tenant 0 even when no tenants are configured.
         let (classes, tenants) = (settings.classes.len(), settings.tenants.len().max(1));
         let balancer = Balancer::new(settings, seed, now)?;
-        let (ids, known) = Default::default();
-        Ok(Instance { balancer, ids, known, next_request: 0, classes, tenants })
+        let (ids, tracked) = Default::default();
+        Ok(Instance { balancer, ids, tracked, next_request: 0, classes, tenants })
     }
 
     /// Checks that the tenant and the class of a request exist.
-    fn check(&self, line: u64, event: &Event) -> Result<(), WireError> {
+    fn check_indexes(&self, line: u64, event: &Event) -> Result<(), WireError> {
         let Event::Request(request) = event else { return Ok(()) };
         let indexes =
             [("customer", request.tenant.0, self.tenants), ("kind", request.class.0, self.classes)];
@@ -218,49 +220,49 @@
         Ok(())
     }
 
-    /// Puts the request's id into the event; false where the event is about a request long done.
-    fn translate(&mut self, name: Option<String>, event: &mut Event) -> bool {
+    /// Fills in the request's id in the event. Returns false if the event's request is no longer tracked.
+    fn assign_request_id(&mut self, name: Option<String>, event: &mut Event) -> bool {
         let Some(name) = name else { return true };
         if let Event::Request(request) = event {
             self.next_request += 1;
             request.id = RequestId(self.next_request);
             self.ids.insert(name.clone(), request.id);
-            self.known.insert(request.id, Known { name, attempts_out: 0, finished: false });
+            self.tracked.insert(request.id, TrackedRequest { name, open_attempts: 0, finished: false });
             return true;
         }
         let Some(&id) = self.ids.get(&name) else { return false };
-        let Some(known) = self.known.get_mut(&id) else { return false };
+        let Some(tracked) = self.tracked.get_mut(&id) else { return false };
         match event {
             Event::StreamStarted { request, .. } => *request = id,
             Event::RequestGone(request) => {
                 *request = id;
-                known.finished = true;
+                tracked.finished = true;
             }
             Event::AttemptEnded(ended) => {
                 ended.request = id;
-                known.attempts_out = known.attempts_out.saturating_sub(1);
-                known.finished |= ended.finished;
+                tracked.open_attempts = tracked.open_attempts.saturating_sub(1);
+                tracked.finished |= ended.finished;
             }
             _ => {}
         }
         true
     }
 
-    /// Keeps count of what an action does to its request, and gives the request's name.
-    fn note(&mut self, action: &Action) -> String {
-        let Some(id) = about_request(action) else { return String::new() };
-        let Some(known) = self.known.get_mut(&id) else { return "-".to_owned() };
-        known.attempts_out += u32::from(matches!(action, Action::Send { .. }));
-        known.finished |= matches!(action, Action::Refuse { .. } | Action::Fail { .. });
-        known.name.clone()
+    /// Updates the tracked state of the request that an action concerns, and returns the request's name.
+    fn record_action(&mut self, action: &Action) -> String {
+        let Some(id) = request_of(action) else { return String::new() };
+        let Some(tracked) = self.tracked.get_mut(&id) else { return "-".to_owned() };
+        tracked.open_attempts += u32::from(matches!(action, Action::Send { .. }));
+        tracked.finished |= matches!(action, Action::Refuse { .. } | Action::Fail { .. });
+        tracked.name.clone()
     }
 
-    /// Forgets a request that nothing more can be heard of.
-    fn tidy(&mut self, id: RequestId) {
-        if self.known.get(&id).is_some_and(|known| known.finished && known.attempts_out == 0)
-            && let Some(known) = self.known.remove(&id)
+    /// Stops tracking a request that is finished and has no open attempt.
+    fn forget_if_done(&mut self, id: RequestId) {
+        if self.tracked.get(&id).is_some_and(|tracked| tracked.finished && tracked.open_attempts == 0)
+            && let Some(tracked) = self.tracked.remove(&id)
         {
-            self.ids.remove(&known.name);
+            self.ids.remove(&tracked.name);
         }
     }
 }
--- a/crates/adapter/src/parse.rs
+++ b/crates/adapter/src/parse.rs
@@ -1,4 +1,4 @@
-//! Lines of input as typed messages.
+//! Parses lines of input into typed messages.
 
 use crate::fields::Fields;
 use crate::{Line, ListMode, WireError};
@@ -7,19 +7,19 @@
 use curlewhub_balance::*;
 use curlewhub_config::settings::parse_settings;
 
-/// The id in an event until the host replaces it by the request's own.
-const UNSET: RequestId = RequestId(u64::MAX);
-/// The greatest number of a list.
+/// Placeholder for the request's id in an event, until the host replaces it.
+const PLACEHOLDER_ID: RequestId = RequestId(u64::MAX);
+/// The highest number of a list.
 const MAX_BANK: u8 = 15;
-/// Bits of an order's attributes.
+/// Bits of the `attrs` field of an `order` message.
 const HAS_ESTIMATE: u32 = 1;
 const IS_CLIENT_RETRY: u32 = 2;
 const IS_WRITE: u32 = 4;
 
-/// An event, and the name of its request on the wire if it has one.
+/// An event, and the protocol's name of its request if it concerns one.
 type NamedEvent = (Option<String>, Event);
 
-/// Parses line number `line`; `names` turns endpoint names into ids.
+/// Parses line number `line`; `names` maps endpoint names to ids.
 pub fn parse(line: u64, text: &str, names: &mut EndpointNames) -> Result<Line, WireError> {
     let mut fields = Fields::new(line, text);
     let message = fields.text("message")?;
@@ -54,7 +54,7 @@
     if bank > MAX_BANK { Err(fields.error("bank", format!("{bank} is over {MAX_BANK}"))) } else { Ok(bank) }
 }
 
-/// An entry of a list.
+/// Parses an entry of a list.
 fn entry(fields: &mut Fields, names: &mut EndpointNames) -> Result<EndpointInfo, WireError> {
     Ok(EndpointInfo {
         id: names.id(fields.text("endpoint")?),
@@ -78,7 +78,7 @@
     })
 }
 
-/// Discovery's news for an instance.
+/// Parses a discovery update for an instance.
 fn targets(fields: &mut Fields) -> Result<Line, WireError> {
     let instance = fields.integer("sidecar")?;
     let mode = match fields.text("mode")? {
@@ -91,7 +91,7 @@
     if let Some(text) = fields.optional("epoch")? {
         fields.parsed::<u64>("epoch", text, "a whole number")?;
     }
-    // The number of the list means nothing where nothing is listed.
+    // A failed call has no list, so the number of the list is ignored.
     let bank = if mode == ListMode::Failed { fields.text("bank").map(|_| 0)? } else { bank(fields)? };
     Ok(Line::Targets { instance, mode, bank })
 }
@@ -104,10 +104,10 @@
             let attempt = AttemptNo(fields.integer("copy")?);
             fields.text("endpoint")?;
             fields.time("elapsedMs")?;
-            (Some(name), Event::StreamStarted { request: UNSET, attempt })
+            (Some(name), Event::StreamStarted { request: PLACEHOLDER_ID, attempt })
         }
         "result" => result(fields, names)?,
-        "aborted" => (Some(fields.text("job")?.to_owned()), Event::RequestGone(UNSET)),
+        "aborted" => (Some(fields.text("job")?.to_owned()), Event::RequestGone(PLACEHOLDER_ID)),
         "timeout_fired" => (None, Event::Timer(TimerToken(fields.integer("ctx")?))),
         "sampled" => {
             let endpoint = names.id(fields.text("endpoint")?);
@@ -125,7 +125,7 @@
     })
 }
 
-/// A request that arrives.
+/// Parses the arrival of a request.
 fn order(fields: &mut Fields) -> Result<NamedEvent, WireError> {
     let name = fields.text("job")?.to_owned();
     let work_hint = fields.optional_time("estimateMs")?;
@@ -141,7 +141,7 @@
     let tenant = TenantId(fields.index("customer")?);
     let class = ClassId(fields.index("kind")?);
     let event = Event::Request(Request {
-        id: UNSET,
+        id: PLACEHOLDER_ID,
         class,
         tenant,
         time_left,
@@ -155,7 +155,7 @@
     Ok((Some(name), event))
 }
 
-/// An attempt that ended.
+/// Parses the end of an attempt.
 fn result(fields: &mut Fields, names: &mut EndpointNames) -> Result<NamedEvent, WireError> {
     let name = fields.text("job")?.to_owned();
     let outcome = fields.outcome("how")?;
@@ -164,12 +164,12 @@
     let endpoint = names.id(fields.text("endpoint")?);
     let attempt = AttemptNo(fields.integer("copy")?);
     let report = fields.report("report")?;
-    let request = UNSET;
+    let request = PLACEHOLDER_ID;
     let ended = AttemptEnded { request, attempt, endpoint, outcome, elapsed, finished, report };
     Ok((Some(name), Event::AttemptEnded(ended)))
 }
 
-/// The settings object of a line, as it also stands in the sidecar's configuration.
+/// Parses the settings object of a line, which has the same form as in the sidecar's configuration.
 fn settings(line: u64, text: &str) -> Result<Settings, WireError> {
     parse_settings(text).map_err(|e| WireError { line, field: e.field, problem: e.problem })
 }
--- a/crates/adapter/src/print.rs
+++ b/crates/adapter/src/print.rs
@@ -1,15 +1,21 @@
-//! Actions and faults as lines of output.
+//! Formats actions and panics as lines of output.
 
 use curlewhub_balance::{Action, EndpointNames};
 use std::time::Duration;
 
-/// Prints one action of `instance`; `request` is the wire's name of the request it is about. None for what the wire
-/// has no word for: a timer can't be taken back, and comes for nothing.
-pub fn print(instance: u32, action: &Action, request: &str, names: &EndpointNames) -> Option<String> {
+/// Formats one action of `instance`; `request` is the protocol's name of the request that it concerns.
+/// Returns `None` for actions that the protocol can't express: a timer can't be cancelled, so it fires and
+/// is ignored.
+pub fn format_action(
+    instance: u32,
+    action: &Action,
+    request: &str,
+    names: &EndpointNames,
+) -> Option<String> {
     Some(match action {
         Action::DropTimer { .. } => return None,
         Action::Send { endpoint, timeout, .. } => {
-            // Zero would mean "no time-out of its own", so the least that can be said is a microsecond.
+            // Zero means "no timeout of its own" in the protocol, so at least a microsecond is sent.
             let timeout = (*timeout).max(Duration::from_micros(1));
             format!("try {instance} {request} {} {}", millis(timeout), names.name(*endpoint))
         }
@@ -28,8 +34,8 @@
     })
 }
 
-/// Prints the report of a panic in an instance.
-pub fn print_fault(instance: u32, problem: &str) -> String {
+/// Formats the report of a panic in an instance.
+pub fn format_panic(instance: u32, problem: &str) -> String {
     format!("die {instance} {}", one_line(problem))
 }
 
