--- a/crates/discovery-client/src/backoff.rs
+++ b/crates/discovery-client/src/backoff.rs
@@ -1,6 +1,6 @@
 //! Waits between calls that fail.
 
-use crate::timing::{MAX_SPREAD, MAX_WAIT};
+use crate::timing::{MAX_BACKOFF, MAX_JITTER};
 use curlewhub_balance::{RefusalCause, refused_wait};
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 const DOUBLINGS: u32 = 2;
 /// The jitter about a wait, as parts of it: callers that failed together do not come again together.
 const JITTER: (f64, f64) = (0.5, 1.5);
-const _: () = assert!(FIRST_WAIT.as_millis() * (1 << DOUBLINGS) * 3 / 2 == MAX_WAIT.as_millis());
+const _: () = assert!(FIRST_WAIT.as_millis() * (1 << DOUBLINGS) * 3 / 2 == MAX_BACKOFF.as_millis());
 
 /// How long to wait between calls that fail.
 #[derive(Debug, Default)]
@@ -28,7 +28,7 @@
 
     /// The wait behind a call that discovery refused after it took so long, by a draw from 0 to 1: too many call, and
     /// each further call takes another caller's turn.
-    pub fn refused(&mut self, cause: RefusalCause, took: Duration, draw: f64) -> Duration {
+    pub fn after_refusal(&mut self, cause: RefusalCause, took: Duration, draw: f64) -> Duration {
         let wait = refused_wait(self.refusals, cause, took, draw);
         self.refusals = self.refusals.saturating_add(1);
         self.failures = self.failures.saturating_add(1);
@@ -37,7 +37,7 @@
 
     /// The wait behind a call that failed otherwise after it took so long, by a draw from 0 to 1. A call that waited in
     /// discovery's queue has let others go first already.
-    pub fn failed(&mut self, took: Duration, draw: f64) -> Duration {
+    pub fn after_failure(&mut self, took: Duration, draw: f64) -> Duration {
         let doubled = FIRST_WAIT * (1 << self.failures.min(DOUBLINGS));
         self.failures = self.failures.saturating_add(1);
         spread(doubled, took, draw)
@@ -45,7 +45,7 @@
 
     /// The wait behind a call that this machine could not make, by a draw from 0 to 1: it was no burden to discovery,
     /// and counts as no failure of discovery's.
-    pub fn local(&self, took: Duration, draw: f64) -> Duration {
+    pub fn after_local_error(&self, took: Duration, draw: f64) -> Duration {
         spread(FIRST_WAIT, took, draw)
     }
 }
@@ -54,5 +54,5 @@
 fn spread(wait: Duration, took: Duration, draw: f64) -> Duration {
     let (least, most) = JITTER;
     let jittered = wait.mul_f64(least + (most - least) * draw);
-    jittered.saturating_sub(took).max(MAX_SPREAD.mul_f64(draw))
+    jittered.saturating_sub(took).max(MAX_JITTER.mul_f64(draw))
 }
--- a/crates/discovery-client/src/client.rs
+++ b/crates/discovery-client/src/client.rs
@@ -4,7 +4,8 @@
 use crate::calls::{CallId, CallKind, Epoch, OutCall, Progress};
 use crate::lease::{FailedCall, Lease, LeaseState, Reachability};
 use crate::timing::{
-    MAX_SPREAD, MAX_WATCH_CALLS, MOVES_SETTLE, MOVES_SETTLE_LIMIT, REFUSED_AT_ONCE, SECOND_CALL_AFTER,
+    IMMEDIATE_REFUSAL_LIMIT, MAX_JITTER, MAX_WATCH_CALLS, SECOND_CALL_AFTER, SERVER_CHANGE_DEBOUNCE,
+    SERVER_CHANGE_DEBOUNCE_LIMIT,
 };
 use crate::versions::Versions;
 use curlewhub_balance::RefusalCause;
@@ -27,7 +28,7 @@
 
 /// What the settings say of the list.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
+pub struct LeaseSettings {
     /// A process that has neither watched nor asked for so long counts as notified of what was listed then.
     pub ask_within: Duration,
     /// What is sent to an endpoint that leaves must end within this.
@@ -36,15 +37,15 @@
 
 /// How a call or a watch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum EndReason {
     /// It was answered, and not by a list: discovery, or what stands for it, does not serve it.
     Refused,
     /// This machine could not make it: nothing reached discovery.
-    Local,
+    LocalError,
     /// No connection was established.
     NotConnected,
     /// There was no answer in time, or the connection broke before one.
-    Unanswered,
+    NoResponse,
     /// Anything else: an answer that is no list, or a watch that was ended in order.
     Failed,
     /// A watch that was up brought nothing for too long.
@@ -66,9 +67,9 @@
         kind: CallKind,
     },
     /// Close this call's connection: nothing of it counts any more.
-    Abandon(CallId),
+    Cancel(CallId),
     /// Take this list, or these changes.
-    Take(List),
+    Apply(List),
     /// It works again, and nothing has changed.
     Unchanged,
     /// A call brought nothing, or the watch ended; the list stays.
@@ -115,10 +116,10 @@
 
 impl Client {
     /// Follows nothing yet.
-    pub fn new(mode: Mode, rules: Rules, seed: u64, now: Duration) -> Self {
+    pub fn new(mode: Mode, settings: LeaseSettings, seed: u64, now: Duration) -> Self {
         Client {
             versions: Versions::new(0),
-            lease: Lease::new(mode, rules, now),
+            lease: Lease::new(mode, settings, now),
             backoff: Backoff::default(),
             whole_list_backoff: Backoff::default(),
             draws: Pcg32::seed_from_u64(seed),
@@ -138,7 +139,7 @@
     }
 
     /// The list known at the start has this version.
-    pub fn known(&mut self, version: u64) {
+    pub fn set_initial_version(&mut self, version: u64) {
         self.versions = Versions::new(version);
     }
 
@@ -179,9 +180,9 @@
         self.following = false;
         (self.next_watch, self.next_whole_list) = (None, None);
         for call in std::mem::take(&mut self.calls) {
-            self.actions.push(Action::Abandon(call.id));
+            self.actions.push(Action::Cancel(call.id));
         }
-        self.lease.not_followed();
+        self.lease.unfollowed();
         self.actions.push(Action::Unchanged);
     }
 
@@ -196,21 +197,22 @@
     /// Another server is to be followed. The watch on the one before is left, as a second one would cost discovery a turn
     /// for each change; calls that wait for their turn there keep it, and what they bring counts until the new server
     /// is heard.
-    pub fn moved(&mut self, now: Duration) {
+    pub fn server_changed(&mut self, now: Duration) {
         let awaited = self.target > self.versions.epoch();
         self.target = Epoch(self.target.0 + 1);
-        self.lease.moved(now, self.target);
+        self.lease.server_changed(now, self.target);
         self.following = true;
         self.crowded = false;
         self.backoff.reset();
         self.next_whole_list = None;
         if let Some(up) = self.calls.iter().position(|call| call.progress == Progress::Up) {
             self.abandon(up);
-            self.lease.watch_left(now);
+            self.lease.watch_cancelled(now);
         }
         if awaited {
             let since = *self.unsettled_since.get_or_insert(now);
-            self.next_watch = Some((now + MOVES_SETTLE).min(since + MOVES_SETTLE_LIMIT).max(now));
+            self.next_watch =
+                Some((now + SERVER_CHANGE_DEBOUNCE).min(since + SERVER_CHANGE_DEBOUNCE_LIMIT).max(now));
         } else {
             self.call_watch(now);
         }
@@ -234,13 +236,13 @@
             Progress::Up => {
                 self.backoff.reset();
                 if let Some(list) = list {
-                    self.versions.watched(&list);
-                    self.actions.push(Action::Take(list));
+                    self.versions.apply_watch_line(&list);
+                    self.actions.push(Action::Apply(list));
                 }
                 self.heard(now, call.epoch);
                 if self.versions.overflows() {
                     self.abandon(at);
-                    self.watch_lost(now, Ending::Failed);
+                    self.watch_lost(now, EndReason::Failed);
                 }
             }
         }
@@ -251,25 +253,25 @@
         let Some(at) = self.calls.iter().position(|call| call.id == id) else { return };
         let call = self.calls.swap_remove(at);
         self.crowded &= call.epoch != self.target;
-        match self.versions.whole_list(call.epoch, call.held, list) {
+        match self.versions.merge_whole_list(call.epoch, call.held, list) {
             Some(list) => {
-                self.lease.listed(now, call.epoch);
+                self.lease.whole_list_received(now, call.epoch);
                 self.whole_list_backoff.reset();
                 self.next_whole_list = None;
-                self.actions.push(Action::Take(list));
+                self.actions.push(Action::Apply(list));
             }
             None => self.actions.push(Action::Unchanged),
         }
     }
 
     /// A list broke off, or takes long: its entries so far.
-    pub fn torn(&mut self, id: CallId, list: List) {
+    pub fn partial_list(&mut self, id: CallId, list: List) {
         let Some(call) = self.calls.iter().find(|call| call.id == id).copied() else { return };
         self.take_departures(call.epoch, Some(list));
     }
 
     /// A call failed, or a watch that was up ended.
-    pub fn ended(&mut self, now: Duration, id: CallId, ending: Ending) {
+    pub fn call_ended(&mut self, now: Duration, id: CallId, ending: EndReason) {
         let Some(at) = self.calls.iter().position(|call| call.id == id) else { return };
         let call = self.calls.swap_remove(at);
         match (call.kind, call.progress) {
@@ -330,7 +332,7 @@
     fn opened(&mut self, now: Duration, at: usize, list: Option<List>) {
         let call = self.calls[at];
         if let Some(before) = self.watch_in_force().map(|up| up.id) {
-            self.actions.push(Action::Abandon(before));
+            self.actions.push(Action::Cancel(before));
             self.calls.retain(|out| out.id != before);
         }
         for out in self.calls.iter_mut().filter(|out| out.id == call.id) {
@@ -342,50 +344,50 @@
             (self.crowded, self.next_watch, self.unsettled_since) = (false, None, None);
         }
         // Without a list: it works again, and the next failure is a first one.
-        self.actions.push(list.map_or(Action::Unchanged, Action::Take));
+        self.actions.push(list.map_or(Action::Unchanged, Action::Apply));
         self.heard(now, call.epoch);
     }
 
     /// The watch in force has brought a line. Where a whole list is still owed, it is asked for.
     fn heard(&mut self, now: Duration, epoch: Epoch) {
         let owed = self.versions.needs_whole_list();
-        self.lease.heard(now, epoch, !owed);
+        self.lease.line_received(now, epoch, !owed);
         self.next_whole_list = owed.then(|| self.next_whole_list.unwrap_or(now));
     }
 
     fn take_departures(&mut self, epoch: Epoch, list: Option<List>) {
         let departures = list.and_then(|list| self.versions.departures(epoch, list));
-        self.actions.extend(departures.map(Action::Take));
+        self.actions.extend(departures.map(Action::Apply));
     }
 
     fn abandon(&mut self, at: usize) {
         let call = self.calls.swap_remove(at);
-        self.actions.push(Action::Abandon(call.id));
+        self.actions.push(Action::Cancel(call.id));
     }
 
     /// The watch in force has ended. A call to another server that is awaited already is kept.
-    fn watch_lost(&mut self, now: Duration, ending: Ending) {
+    fn watch_lost(&mut self, now: Duration, ending: EndReason) {
         match ending {
-            Ending::Silent => self.lease.watch_silent(),
-            Ending::Reset => self.lease.watch_reset(now),
-            Ending::Refused
-            | Ending::Local
-            | Ending::NotConnected
-            | Ending::Unanswered
-            | Ending::Failed => self.lease.watch_ended(now),
+            EndReason::Silent => self.lease.watch_silent(),
+            EndReason::Reset => self.lease.watch_reset(now),
+            EndReason::Refused
+            | EndReason::LocalError
+            | EndReason::NotConnected
+            | EndReason::NoResponse
+            | EndReason::Failed => self.lease.watch_ended(now),
         }
         self.actions.push(Action::Report(Outcome::Failed));
         if self.waiting_on_target() == 0 && self.next_watch.is_none() {
             let draw = self.draw();
-            self.next_watch = Some(now + MAX_SPREAD.mul_f64(draw));
+            self.next_watch = Some(now + MAX_JITTER.mul_f64(draw));
         }
     }
 
-    fn watch_call_failed(&mut self, now: Duration, call: &OutCall, ending: Ending) {
-        self.crowded |= ending == Ending::Refused;
-        self.refused |= ending == Ending::Refused;
+    fn watch_call_failed(&mut self, now: Duration, call: &OutCall, ending: EndReason) {
+        self.crowded |= ending == EndReason::Refused;
+        self.refused |= ending == EndReason::Refused;
         let held = now.saturating_sub(call.began);
-        if ending == Ending::Refused {
+        if ending == EndReason::Refused {
             self.longest_refused = self.longest_refused.max(held);
         }
         if self.waiting_on_target() > 0 {
@@ -399,29 +401,30 @@
         self.actions.push(Action::Report(if refused { Outcome::Refused } else { Outcome::Failed }));
         let (took, draw) = (now.saturating_sub(self.last_watch_call.max(call.began)), self.draw());
         let wait = match ending {
-            _ if refused => self.backoff.refused(self.lease.refusal_cause(), took, draw),
-            Ending::Local => self.backoff.local(took, draw),
-            _ => self.backoff.failed(took, draw),
+            _ if refused => self.backoff.after_refusal(self.lease.refusal_cause(), took, draw),
+            EndReason::LocalError => self.backoff.after_local_error(took, draw),
+            _ => self.backoff.after_failure(took, draw),
         };
         self.next_watch = Some(now + wait);
-        let (ending, held) = if refused { (Ending::Refused, self.longest_refused) } else { (ending, held) };
-        if let Some(shows) = reachability(ending, held) {
-            self.lease.call_failed(now, FailedCall { shows, began: call.began });
+        let (ending, held) =
+            if refused { (EndReason::Refused, self.longest_refused) } else { (ending, held) };
+        if let Some(reachability) = reachability_shown(ending, held) {
+            self.lease.call_failed(now, FailedCall { reachability, started_at: call.began });
         }
     }
 
-    fn whole_list_failed(&mut self, now: Duration, call: &OutCall, ending: Ending) {
-        let refused = ending == Ending::Refused;
+    fn whole_list_failed(&mut self, now: Duration, call: &OutCall, ending: EndReason) {
+        let refused = ending == EndReason::Refused;
         self.actions.push(Action::Report(if refused { Outcome::Refused } else { Outcome::Failed }));
         if self.versions.needs_whole_list() && call.epoch == self.versions.epoch() {
             self.lease.whole_list_failed();
             let (took, draw) = (now.saturating_sub(call.began), self.draw());
             let wait = match ending {
-                Ending::Refused => {
-                    self.whole_list_backoff.refused(RefusalCause::TooManyCallers, took, draw)
+                EndReason::Refused => {
+                    self.whole_list_backoff.after_refusal(RefusalCause::TooManyCallers, took, draw)
                 }
-                Ending::Local => self.whole_list_backoff.local(took, draw),
-                _ => self.whole_list_backoff.failed(took, draw),
+                EndReason::LocalError => self.whole_list_backoff.after_local_error(took, draw),
+                _ => self.whole_list_backoff.after_failure(took, draw),
             };
             self.next_whole_list = Some(now + wait);
         }
@@ -434,8 +437,8 @@
         self.next_watch = None;
         self.unsettled_since = None;
         self.last_watch_call = now;
-        self.lease.called(now);
-        let after = self.versions.ask_after(self.target);
+        self.lease.call_started(now);
+        let after = self.versions.request_after(self.target);
         self.call(now, CallKind::Watch { after });
     }
 
@@ -465,12 +468,14 @@
 }
 
 /// What a call that ended so after so long says of whether discovery can be reached; nothing where it was not made.
-fn reachability(ending: Ending, took: Duration) -> Option<Reachability> {
+fn reachability_shown(ending: EndReason, took: Duration) -> Option<Reachability> {
     match ending {
-        Ending::Local => None,
-        Ending::NotConnected => Some(Reachability::Unreachable),
-        Ending::Unanswered => Some(Reachability::Silent),
-        Ending::Refused if took >= REFUSED_AT_ONCE => Some(Reachability::InDoubt),
-        Ending::Refused | Ending::Failed | Ending::Silent | Ending::Reset => Some(Reachability::Reachable),
+        EndReason::LocalError => None,
+        EndReason::NotConnected => Some(Reachability::Unreachable),
+        EndReason::NoResponse => Some(Reachability::Silent),
+        EndReason::Refused if took >= IMMEDIATE_REFUSAL_LIMIT => Some(Reachability::Ambiguous),
+        EndReason::Refused | EndReason::Failed | EndReason::Silent | EndReason::Reset => {
+            Some(Reachability::Reachable)
+        }
     }
 }
--- a/crates/discovery-client/src/lease.rs
+++ b/crates/discovery-client/src/lease.rs
@@ -1,9 +1,9 @@
 //! The bound on the use of the list that is held.
 
 use crate::Epoch;
-use crate::client::{Mode, Rules};
+use crate::client::{LeaseSettings, Mode};
 use crate::timing::{
-    LEASE_SLACK, LONGEST_OUTAGE, NOTIFIED_AFTER_MOVE, NOTIFIED_AFTER_WATCH_END, NOTIFIED_WITHIN,
+    LEASE_SLACK, LONGEST_OUTAGE, NOTIFIED_AFTER_SERVER_CHANGE, NOTIFIED_AFTER_WATCH_END, NOTIFIED_WITHIN,
     STALL_ALLOWANCE,
 };
 use curlewhub_balance::RefusalCause;
@@ -64,7 +64,7 @@
     /// Nothing came on the connection: it hangs, or is cut off.
     Silent,
     /// The call was held and then refused, as in an outage and as before too many callers.
-    InDoubt,
+    Ambiguous,
     /// It answered at once, or with what is no list: it can be reached.
     Reachable,
 }
@@ -73,9 +73,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct FailedCall {
     /// What it says of discovery.
-    pub shows: Reachability,
+    pub reachability: Reachability,
     /// When it began.
-    pub began: Duration,
+    pub started_at: Duration,
 }
 
 /// From when on the list that is held must not be used for anything new, because a change that this process has not
@@ -83,7 +83,7 @@
 #[derive(Debug)]
 pub struct Lease {
     mode: Mode,
-    rules: Rules,
+    settings: LeaseSettings,
     state: LeaseState,
     /// When discovery last sent anything.
     confirmed_at: Duration,
@@ -98,10 +98,10 @@
 
 impl Lease {
     /// A lease on the list known at the start.
-    pub fn new(mode: Mode, rules: Rules, now: Duration) -> Self {
+    pub fn new(mode: Mode, settings: LeaseSettings, now: Duration) -> Self {
         let state = LeaseState::Unwatched { since: now };
         let (moved, watched, refusals) = Default::default();
-        Lease { mode, rules, state, confirmed_at: now, moved, last_call: now, watched, refusals }
+        Lease { mode, settings, state, confirmed_at: now, moved, last_call: now, watched, refusals }
     }
 
     /// What stands between this process and the newest list.
@@ -115,20 +115,20 @@
     }
 
     /// A call for a watch began.
-    pub fn called(&mut self, now: Duration) {
+    pub fn call_started(&mut self, now: Duration) {
         self.last_call = now;
     }
 
     /// The watch in force opened or brought a line; it follows the server of this epoch, whose list is held completely
     /// or a whole one is still owed.
-    pub fn heard(&mut self, now: Duration, epoch: Epoch, complete: bool) {
+    pub fn line_received(&mut self, now: Duration, epoch: Epoch, complete: bool) {
         (self.state, self.watched, self.refusals) = (LeaseState::Watching, true, 0);
         self.confirmed_at = now;
         self.moved = self.moved.filter(|(newest, _)| *newest > epoch || !complete);
     }
 
     /// A whole list of the server of this epoch was received, while no watch is up.
-    pub fn listed(&mut self, now: Duration, epoch: Epoch) {
+    pub fn whole_list_received(&mut self, now: Duration, epoch: Epoch) {
         self.confirmed_at = now;
         self.moved = self.moved.filter(|(newest, _)| *newest > epoch);
         if self.state != LeaseState::Watching {
@@ -144,14 +144,14 @@
     }
 
     /// The server of this epoch is to be followed from now on.
-    pub fn moved(&mut self, now: Duration, epoch: Epoch) {
+    pub fn server_changed(&mut self, now: Duration, epoch: Epoch) {
         let since = self.moved.map_or(now, |(_, since)| since);
         self.moved = Some((epoch, since));
         self.refusals = 0;
     }
 
     /// The watch in force was left.
-    pub fn watch_left(&mut self, now: Duration) {
+    pub fn watch_cancelled(&mut self, now: Duration) {
         self.state = LeaseState::Unwatched { since: now };
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// Nothing is followed.
-    pub fn not_followed(&mut self) {
+    pub fn unfollowed(&mut self) {
         (self.state, self.moved) = (LeaseState::NotFollowed, None);
     }
 
@@ -180,12 +180,12 @@
         if self.may_have_been_notified(now) {
             return;
         }
-        self.refusals += u32::from(call.shows == Reachability::InDoubt);
-        let since = match call.shows {
-            Reachability::Unreachable => Some(call.began),
+        self.refusals += u32::from(call.reachability == Reachability::Ambiguous);
+        let since = match call.reachability {
+            Reachability::Unreachable => Some(call.started_at),
             Reachability::Silent if !self.was_there() => self.outage_since(now).or(Some(self.confirmed_at)),
-            Reachability::InDoubt if !self.was_there() => self.outage_since(now),
-            Reachability::Silent | Reachability::InDoubt => None,
+            Reachability::Ambiguous if !self.was_there() => self.outage_since(now),
+            Reachability::Silent | Reachability::Ambiguous => None,
             Reachability::Reachable => {
                 if let Some(notified_at) = self.notified_by_state().filter(|_| !self.was_there()) {
                     self.state = LeaseState::Crowded { notified_at };
@@ -194,7 +194,7 @@
             }
         };
         if let Some(since) = since {
-            self.state = LeaseState::Unreachable { since, last_call: call.began };
+            self.state = LeaseState::Unreachable { since, last_call: call.started_at };
         }
     }
 
@@ -245,13 +245,13 @@
 
     /// From when on nothing new may begin by this list; none while a watch is up, or nothing is followed.
     pub fn expires_at(&self) -> Option<Duration> {
-        let allowance = self.rules.drain_grace.saturating_sub(STALL_ALLOWANCE + LEASE_SLACK);
+        let allowance = self.settings.drain_grace.saturating_sub(STALL_ALLOWANCE + LEASE_SLACK);
         self.notified_at().map(|notified_at| notified_at + allowance)
     }
 
     /// From when on an unseen change may count as notified.
     fn notified_at(&self) -> Option<Duration> {
-        let by_move = self.moved.map(|(_, since)| since + NOTIFIED_AFTER_MOVE);
+        let by_move = self.moved.map(|(_, since)| since + NOTIFIED_AFTER_SERVER_CHANGE);
         match (self.state, by_move) {
             // What could not be reached since the move could not notify anything of the new server's either.
             (LeaseState::Unreachable { last_call, .. }, Some(_)) if self.moved_before(last_call) => {
@@ -290,7 +290,7 @@
     fn unwatched_since(&self, since: Duration) -> Duration {
         match self.mode {
             Mode::Push => since,
-            Mode::Ask => self.last_call.max(since) + self.rules.ask_within,
+            Mode::Ask => self.last_call.max(since) + self.settings.ask_within,
         }
     }
 }
--- a/crates/discovery-client/src/lib.rs
+++ b/crates/discovery-client/src/lib.rs
@@ -18,7 +18,7 @@
 
 pub use backoff::Backoff;
 pub use calls::{CallId, CallKind, Epoch};
-pub use client::{Action, Client, Ending, Mode, Outcome, Rules};
+pub use client::{Action, Client, EndReason, LeaseSettings, Mode, Outcome};
 pub use lease::{FailedCall, Lease, LeaseState, Reachability};
 pub use versions::{PENDING_CHANGES_LIMIT, Versions};
 pub use watch_state::WatchState;
--- a/crates/discovery-client/src/versions.rs
+++ b/crates/discovery-client/src/versions.rs
@@ -32,7 +32,7 @@
     }
 
     /// The version after which changes of this server are to be asked for.
-    pub fn ask_after(&self, epoch: Epoch) -> u64 {
+    pub fn request_after(&self, epoch: Epoch) -> u64 {
         if epoch == self.epoch { self.version } else { 0 }
     }
 
@@ -48,12 +48,12 @@
             self.pending = Some(Vec::new());
         }
         if let Some(list) = first {
-            self.watched(list);
+            self.apply_watch_line(list);
         }
     }
 
     /// The watch that counts has brought this.
-    pub fn watched(&mut self, list: &List) {
+    pub fn apply_watch_line(&mut self, list: &List) {
         self.version = list.rev;
         if list.all {
             self.pending = None;
@@ -69,7 +69,7 @@
 
     /// A whole list that was requested while `held` was the version held: the list to apply, unless the watch has
     /// brought something newer.
-    pub fn whole_list(&mut self, epoch: Epoch, held: u64, mut list: List) -> Option<List> {
+    pub fn merge_whole_list(&mut self, epoch: Epoch, held: u64, mut list: List) -> Option<List> {
         if epoch < self.epoch {
             return None;
         }
--- a/crates/discovery-client/src/watch_state.rs
+++ b/crates/discovery-client/src/watch_state.rs
@@ -10,7 +10,7 @@
     /// Its first line is part of the call.
     Opening {
         /// When the call ends.
-        due: Duration,
+        deadline: Duration,
     },
     /// Between lines, since then.
     BetweenLines {
@@ -38,9 +38,9 @@
     }
 
     /// When it counts as dead.
-    pub fn due(self) -> Duration {
+    pub fn deadline(self) -> Duration {
         match self {
-            WatchState::Opening { due } => due,
+            WatchState::Opening { deadline } => deadline,
             WatchState::BetweenLines { since } => since + WATCH_SILENCE_TIMEOUT,
             WatchState::WithinLine { since } => since + LINE_TIMEOUT,
         }
--- a/crates/discovery-client/tests/notified_changes.rs
+++ b/crates/discovery-client/tests/notified_changes.rs
@@ -2,7 +2,7 @@
 //! notified. What counts is recorded beside the client, from what discovery had and when it could be reached.
 
 use curlewhub_config::list::List;
-use curlewhub_discovery_client::{Action, CallId, CallKind, Client, Ending, Mode, Rules};
+use curlewhub_discovery_client::{Action, CallId, CallKind, Client, EndReason, LeaseSettings, Mode};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 const GRACE: Duration = Duration::from_millis(250);
 const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 const NOTIFIED_AFTER_WATCH_END: Duration = Duration::from_secs(2);
-const NOTIFIED_AFTER_MOVE: Duration = Duration::from_secs(4);
+const NOTIFIED_AFTER_SERVER_CHANGE: Duration = Duration::from_secs(4);
 const LONGEST_OUTAGE_MS: u64 = 8000;
 const STEP: Duration = Duration::from_millis(10);
 const RUN_END: Duration = Duration::from_secs(90);
@@ -34,7 +34,7 @@
     id: CallId,
     kind: CallKind,
     ends_at: Duration,
-    ending: Option<Ending>,
+    ending: Option<EndReason>,
     is_up: bool,
 }
 
@@ -55,9 +55,9 @@
 
 impl History {
     fn new(seed: u64) -> Self {
-        let rules = Rules { ask_within: Duration::from_secs(10), drain_grace: GRACE };
+        let rules = LeaseSettings { ask_within: Duration::from_secs(10), drain_grace: GRACE };
         let mut client = Client::new(Mode::Ask, rules, seed, Duration::ZERO);
-        client.known(1);
+        client.set_initial_version(1);
         client.follow(Duration::ZERO);
         History {
             client,
@@ -97,9 +97,9 @@
             self.change(now);
         }
         if self.one_in(1500) {
-            self.client.moved(now);
+            self.client.server_changed(now);
             if self.held < self.version && self.reachable() {
-                self.counts_from(now + NOTIFIED_AFTER_MOVE);
+                self.counts_from(now + NOTIFIED_AFTER_SERVER_CHANGE);
             }
         }
         for call in self.calls.clone() {
@@ -138,7 +138,7 @@
         }
         for watch in self.calls.clone().into_iter().filter(|call| call.is_up) {
             self.calls.retain(|call| call.id != watch.id);
-            self.client.ended(now, watch.id, Ending::Reset);
+            self.client.call_ended(now, watch.id, EndReason::Reset);
         }
     }
 
@@ -148,7 +148,7 @@
         match self.calls.iter().find(|call| call.is_up).copied() {
             Some(watch) if self.one_in(2) => {
                 self.calls.retain(|call| call.id != watch.id);
-                self.client.ended(now, watch.id, Ending::Failed);
+                self.client.call_ended(now, watch.id, EndReason::Failed);
                 self.counts_from(now + NOTIFIED_AFTER_WATCH_END);
             }
             Some(watch) => {
@@ -171,11 +171,11 @@
     fn end(&mut self, now: Duration, call: Call) {
         self.calls.retain(|out| out.id != call.id);
         let ending = match (call.ending, self.reachable()) {
-            (None, false) => Some(Ending::Unanswered),
+            (None, false) => Some(EndReason::NoResponse),
             (ending, _) => ending,
         };
         match (ending, call.kind) {
-            (Some(ending), _) => self.client.ended(now, call.id, ending),
+            (Some(ending), _) => self.client.call_ended(now, call.id, ending),
             (None, CallKind::WholeList) => {
                 self.written();
                 self.client.whole_list(now, call.id, self.list());
@@ -194,14 +194,14 @@
                 Action::Call { id, kind, .. } => {
                     let (takes, ending) = match self.phase {
                         Phase::Serving => (self.draw(5, 1500), None),
-                        Phase::Crowded => (self.draw(1, 50), Some(Ending::Refused)),
-                        Phase::Holding => (self.draw(2000, 3000), Some(Ending::Refused)),
-                        Phase::Gone => (self.draw(1, 20), Some(Ending::NotConnected)),
+                        Phase::Crowded => (self.draw(1, 50), Some(EndReason::Refused)),
+                        Phase::Holding => (self.draw(2000, 3000), Some(EndReason::Refused)),
+                        Phase::Gone => (self.draw(1, 20), Some(EndReason::NotConnected)),
                     };
                     self.calls.push(Call { id, kind, ends_at: now + takes, ending, is_up: false });
                 }
-                Action::Abandon(id) => self.calls.retain(|call| call.id != id),
-                Action::Take(_) | Action::Unchanged | Action::Report(_) => {}
+                Action::Cancel(id) => self.calls.retain(|call| call.id != id),
+                Action::Apply(_) | Action::Unchanged | Action::Report(_) => {}
             }
         }
     }
--- a/crates/discovery-client/tests/refused_calls.rs
+++ b/crates/discovery-client/tests/refused_calls.rs
@@ -1,7 +1,7 @@
 //! For how long a list may be used while discovery refuses each call for a newer one.
 
 use curlewhub_config::list::List;
-use curlewhub_discovery_client::{Action, CallId, Client, Ending, Mode, Rules};
+use curlewhub_discovery_client::{Action, CallId, Client, EndReason, LeaseSettings, Mode};
 use std::time::Duration;
 
 /// A change counts as notified this long after discovery had it and could be reached.
@@ -30,7 +30,7 @@
 }
 
 fn client_without_watch(seed: u64, lost: Lost) -> (Client, Duration) {
-    let rules = Rules { ask_within: seconds(10.0), drain_grace: Duration::from_millis(250) };
+    let rules = LeaseSettings { ask_within: seconds(10.0), drain_grace: Duration::from_millis(250) };
     let mut client = Client::new(Mode::Ask, rules, seed, Duration::ZERO);
     client.follow(Duration::ZERO);
     let at = seconds(5.0);
@@ -41,10 +41,10 @@
     client.watch_line(at, watch, Some(List { rev: 3, all: true, targets: Vec::new() }));
     match lost {
         Lost::NeverHad => {}
-        Lost::EndedInOrder => client.ended(at, watch, Ending::Failed),
-        Lost::Reset => client.ended(at, watch, Ending::Reset),
-        Lost::Silent => client.ended(at, watch, Ending::Silent),
-        Lost::Left => client.moved(at),
+        Lost::EndedInOrder => client.call_ended(at, watch, EndReason::Failed),
+        Lost::Reset => client.call_ended(at, watch, EndReason::Reset),
+        Lost::Silent => client.call_ended(at, watch, EndReason::Silent),
+        Lost::Left => client.server_changed(at),
     }
     (client, at)
 }
@@ -67,7 +67,7 @@
         }
         out.extend(calls(client).into_iter().map(|id| (now + took, id)));
         for (_, id) in out.extract_if(.., |(at, _)| *at <= now) {
-            client.ended(now, id, Ending::Refused);
+            client.call_ended(now, id, EndReason::Refused);
         }
         out.extend(calls(client).into_iter().map(|id| (now + took, id)));
         if client.lease().expires_at().is_none_or(|expires| now < expires) {
--- a/crates/discovery-client/tests/versions.rs
+++ b/crates/discovery-client/tests/versions.rs
@@ -28,13 +28,13 @@
 #[test]
 fn versions_of_two_servers_are_never_compared() {
     let mut versions = Versions::new(900);
-    assert_eq!(versions.ask_after(Epoch(0)), 900);
-    assert_eq!(versions.ask_after(Epoch(1)), 0, "none of its versions is held");
+    assert_eq!(versions.request_after(Epoch(0)), 900);
+    assert_eq!(versions.request_after(Epoch(1)), 0, "none of its versions is held");
     versions.watch_opened(Epoch(1), Some(&list(3, true, &[])));
     assert_eq!((versions.epoch(), versions.version()), (Epoch(1), 3));
     assert!(!versions.needs_whole_list());
     assert_eq!(
-        versions.whole_list(Epoch(0), 900, list(901, true, &[])),
+        versions.merge_whole_list(Epoch(0), 900, list(901, true, &[])),
         None,
         "the old server's late word"
     );
@@ -44,10 +44,10 @@
 fn changes_that_came_beside_a_whole_list_hold_over_it_where_they_are_newer() {
     let mut versions = Versions::new(5);
     versions.watch_opened(Epoch(1), Some(&list(2, false, &[("a", State::Draining)])));
-    versions.watched(&list(4, false, &[("b", State::Removed), ("c", State::Up)]));
+    versions.apply_watch_line(&list(4, false, &[("b", State::Removed), ("c", State::Up)]));
     assert!(versions.needs_whole_list());
     let whole = list(3, true, &[("a", State::Up), ("b", State::Up)]);
-    let merged = versions.whole_list(Epoch(1), 4, whole).expect("it is owed");
+    let merged = versions.merge_whole_list(Epoch(1), 4, whole).expect("it is owed");
     assert!(merged.all);
     assert_eq!(names(&merged), [("a", State::Up), ("c", State::Up)], "a changed before the list was made");
     assert_eq!(versions.version(), 4);
@@ -57,10 +57,10 @@
 #[test]
 fn a_whole_list_is_taken_unless_the_watch_has_brought_newer_changes_since_it_was_asked_for() {
     let mut versions = Versions::new(5);
-    assert!(versions.whole_list(Epoch(0), 5, list(3, true, &[])).is_some(), "its server began anew");
-    versions.watched(&list(8, false, &[]));
-    assert!(versions.whole_list(Epoch(0), 3, list(7, true, &[])).is_none());
-    assert!(versions.whole_list(Epoch(0), 8, list(8, true, &[])).is_some());
+    assert!(versions.merge_whole_list(Epoch(0), 5, list(3, true, &[])).is_some(), "its server began anew");
+    versions.apply_watch_line(&list(8, false, &[]));
+    assert!(versions.merge_whole_list(Epoch(0), 3, list(7, true, &[])).is_none());
+    assert!(versions.merge_whole_list(Epoch(0), 8, list(8, true, &[])).is_some());
 }
 
 #[test]
@@ -83,6 +83,6 @@
             assert_eq!(rev as usize, PENDING_CHANGES_LIMIT + 3);
             return;
         }
-        versions.watched(&list(rev, false, &[("a", State::Up)]));
+        versions.apply_watch_line(&list(rev, false, &[("a", State::Up)]));
     }
 }
--- a/crates/lab/src/discovery_load.rs
+++ b/crates/lab/src/discovery_load.rs
@@ -3,7 +3,7 @@
 
 use comfy_table::{Table, presets};
 use curlewhub_balance::{RefusalCause, refused_wait};
-use curlewhub_discovery_client::timing::{CALL_TIMEOUT, MAX_SPREAD, SECOND_CALL_AFTER};
+use curlewhub_discovery_client::timing::{CALL_TIMEOUT, MAX_JITTER, SECOND_CALL_AFTER};
 use curlewhub_model::discovery_load::{
     Callers, Discovery, Failures, Outage, Recovery, RetryWait, recover_from,
 };
@@ -86,7 +86,7 @@
     match failures.refused {
         true => refused_wait(failures.before, RefusalCause::Unknown, failures.took, draw),
         // All calls that fail otherwise are given up here, after they took all of their time.
-        false => MAX_SPREAD.mul_f64(draw),
+        false => MAX_JITTER.mul_f64(draw),
     }
 }
 
--- a/crates/model/src/list_notification.rs
+++ b/crates/model/src/list_notification.rs
@@ -5,7 +5,7 @@
 //! of coming on them. A call that has waited for too long is refused, and takes its turn all the same.
 
 use curlewhub_config::list::List;
-use curlewhub_discovery_client::{Action, CallId, CallKind, Client, Ending, Mode, Rules};
+use curlewhub_discovery_client::{Action, CallId, CallKind, Client, EndReason, LeaseSettings, Mode};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -138,7 +138,7 @@
         let moves_end =
             scene.moves.map_or(Duration::ZERO, |moves| moves.within + moves.apart * moves.rounds);
         let change_at = SETTLED + moves_end / 2;
-        let rules = Rules { ask_within: Duration::from_secs(10), drain_grace: GRACE };
+        let rules = LeaseSettings { ask_within: Duration::from_secs(10), drain_grace: GRACE };
         let sidecar = |number: usize| Sidecar {
             client: Client::new(Mode::Ask, rules, seed.wrapping_mul(7919) ^ number as u64, Duration::ZERO),
             watch: None,
@@ -203,7 +203,7 @@
                 if now >= self.change_at {
                     sidecar.notified = sidecar.notified.min(now + BEHIND_MOVE);
                 }
-                sidecar.client.moved(now);
+                sidecar.client.server_changed(now);
                 self.carry_out(now, number);
             }
             Step::Change => {
@@ -218,7 +218,7 @@
             Step::Refuse(number, id) => {
                 if self.sidecars[number].waiting.remove(&id) {
                     self.sidecars[number].refused += 1;
-                    self.sidecars[number].client.ended(now, id, Ending::Refused);
+                    self.sidecars[number].client.call_ended(now, id, EndReason::Refused);
                     self.carry_out(now, number);
                 }
             }
@@ -241,7 +241,7 @@
                 if let Some(watch) = of.watch.take() {
                     of.told = Some(now);
                     of.notified = of.notified.min(now + BEHIND_WATCH_END);
-                    of.client.ended(now, watch, Ending::Failed);
+                    of.client.call_ended(now, watch, EndReason::Failed);
                 }
                 Some(sidecar)
             }
@@ -281,13 +281,13 @@
                     self.at(now + self.scene.wait_limit, Step::Refuse(number, id));
                     self.work(now);
                 }
-                Action::Abandon(id) => {
+                Action::Cancel(id) => {
                     let sidecar = &mut self.sidecars[number];
                     // Its turn is still taken.
                     sidecar.waiting.remove(&id);
                     sidecar.watch = sidecar.watch.filter(|watch| *watch != id);
                 }
-                Action::Take(_) | Action::Unchanged | Action::Report(_) => {}
+                Action::Apply(_) | Action::Unchanged | Action::Report(_) => {}
             }
         }
         self.sidecars[number].account(now);
--- a/crates/runtime/src/discovery/body.rs
+++ b/crates/runtime/src/discovery/body.rs
@@ -1,7 +1,7 @@
 //! Reads the body of an answer piece by piece, within deadlines, and notices where it breaks off.
 
 use super::error::{CallError, Part};
-use curlewhub_discovery_client::timing::{PAUSE_TIMEOUT, TORN_AFTER};
+use curlewhub_discovery_client::timing::{PARTIAL_LIST_AFTER, PAUSE_TIMEOUT};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Bytes};
 use tokio::time::{Instant, timeout_at};
@@ -51,7 +51,7 @@
         let until = match (begun, self.paused) {
             (false, _) => due,
             (true, true) => (Instant::now() + PAUSE_TIMEOUT).min(due),
-            (true, false) => (*self.looked.get_or_insert_with(Instant::now) + TORN_AFTER).min(due),
+            (true, false) => (*self.looked.get_or_insert_with(Instant::now) + PARTIAL_LIST_AFTER).min(due),
         };
         match timeout_at(until, self.body.frame()).await {
             Ok(None) => Ok(Progress::End),
--- a/crates/runtime/src/discovery/call.rs
+++ b/crates/runtime/src/discovery/call.rs
@@ -117,9 +117,9 @@
     async fn watch(&mut self, after: u64, up: &mut bool) -> Result<std::convert::Infallible, CallError> {
         let (response, _connection) = self.request(&format!("/api/targets?watch=1&after={after}")).await?;
         let mut reader = BodyReader::new(response.into_body(), Part::Watch);
-        let mut state = WatchState::Opening { due: self.due - self.began };
+        let mut state = WatchState::Opening { deadline: self.due - self.began };
         loop {
-            match reader.read(self.began + state.due()).await {
+            match reader.read(self.began + state.deadline()).await {
                 Ok(Progress::More) => self.trace.first_byte(),
                 Ok(Progress::MayHaveBrokenOff) => {
                     self.report_torn(&reader.text).await;
--- a/crates/runtime/src/discovery/error.rs
+++ b/crates/runtime/src/discovery/error.rs
@@ -1,7 +1,7 @@
 //! Why a call to discovery brought nothing.
 
 use crate::connect::ConnectError;
-use curlewhub_discovery_client::Ending;
+use curlewhub_discovery_client::EndReason;
 use hyper::StatusCode;
 use std::io;
 
@@ -104,15 +104,15 @@
     }
 
     /// How the call ended; a watch that was up may have fallen silent.
-    pub(super) fn ending(&self, watch_was_up: bool) -> Ending {
+    pub(super) fn ending(&self, watch_was_up: bool) -> EndReason {
         match self {
-            CallError::Refused(_) => Ending::Refused,
-            CallError::Local(_) => Ending::Local,
-            CallError::ConnectTimeout | CallError::Connect(_) => Ending::NotConnected,
-            CallError::Broke(_) | CallError::NoAnswer => Ending::Unanswered,
-            CallError::Silent(_) if watch_was_up => Ending::Silent,
-            CallError::BodyBroke { source, .. } if watch_was_up && is_reset(source) => Ending::Reset,
-            _ => Ending::Failed,
+            CallError::Refused(_) => EndReason::Refused,
+            CallError::Local(_) => EndReason::LocalError,
+            CallError::ConnectTimeout | CallError::Connect(_) => EndReason::NotConnected,
+            CallError::Broke(_) | CallError::NoAnswer => EndReason::NoResponse,
+            CallError::Silent(_) if watch_was_up => EndReason::Silent,
+            CallError::BodyBroke { source, .. } if watch_was_up && is_reset(source) => EndReason::Reset,
+            _ => EndReason::Failed,
         }
     }
 }
--- a/crates/runtime/src/discovery/mod.rs
+++ b/crates/runtime/src/discovery/mod.rs
@@ -11,7 +11,7 @@
 use call::{Order, Report, Reports};
 use curlewhub_balance::{Discovery as DiscoveryMode, Membership, Rules as ListRules};
 use curlewhub_config::list::List;
-use curlewhub_discovery_client::{Action, CallId, Client, LeaseState, Mode, Outcome, Rules};
+use curlewhub_discovery_client::{Action, CallId, Client, LeaseSettings, LeaseState, Mode, Outcome};
 pub use error::{CallError, Part};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -56,7 +56,7 @@
             DiscoveryMode::Push => Mode::Push,
             DiscoveryMode::Ask => Mode::Ask,
         };
-        let rules = Rules { ask_within: rules.ask_within, drain_grace: rules.drain_grace };
+        let rules = LeaseSettings { ask_within: rules.ask_within, drain_grace: rules.drain_grace };
         let client = RefCell::new(Client::new(mode, rules, seed, Duration::ZERO));
         let lease_state = Cell::new(Some(client.borrow().lease().state()));
         let (heard, status) = Default::default();
@@ -71,7 +71,7 @@
 
     /// The list as last held, to start from.
     pub fn cached(&self, list: List) -> News {
-        self.client.borrow_mut().known(list.rev);
+        self.client.borrow_mut().set_initial_version(list.rev);
         let mut news = self.listing.news(list);
         if let Membership::Full(entries) | Membership::Delta(entries) = news.membership {
             news.membership = Membership::Cached(entries);
@@ -116,7 +116,7 @@
             Call::Fetch => client.fetch(now),
             Call::Move(address) => {
                 self.address.set(address);
-                client.moved(now);
+                client.server_changed(now);
             }
         }
     }
@@ -134,11 +134,11 @@
             }
             Report::Torn(list) => {
                 info!(call = id.0, rev = list.rev, entries = list.targets.len(), "list that broke off");
-                client.torn(id, list);
+                client.partial_list(id, list);
             }
             Report::Ended { error, watch_was_up } => {
                 warn!(call = id.0, reason = error.chain(), "discovery");
-                client.ended(now, id, error.ending(watch_was_up));
+                client.call_ended(now, id, error.ending(watch_was_up));
             }
         }
     }
@@ -152,8 +152,8 @@
                     out.retain(|_, guard| !guard.is_finished());
                     out.insert(id, Guard::new(spawn_local(call.run()).abort_handle()));
                 }
-                Action::Abandon(id) => drop(out.remove(&id)),
-                Action::Take(list) => self.take(list),
+                Action::Cancel(id) => drop(out.remove(&id)),
+                Action::Apply(list) => self.take(list),
                 Action::Unchanged => self.tell(Membership::Delta(Vec::new())),
                 Action::Report(Outcome::Failed) => self.tell(Membership::Failed),
                 Action::Report(Outcome::Refused) => self.tell(Membership::Refused),
--- a/crates/runtime/tests/discovery.rs
+++ b/crates/runtime/tests/discovery.rs
@@ -4,7 +4,7 @@
 use curlewhub_balance::{Discovery as Mode, Membership, RefusalCause, Rules, refused_wait};
 use curlewhub_config::Names;
 use curlewhub_discovery_client::Backoff;
-use curlewhub_discovery_client::timing::{CALL_TIMEOUT, MAX_SPREAD, MAX_WAIT, NOTIFIED_WITHIN};
+use curlewhub_discovery_client::timing::{CALL_TIMEOUT, MAX_BACKOFF, MAX_JITTER, NOTIFIED_WITHIN};
 use curlewhub_runtime::discovery::Discovery;
 use curlewhub_runtime::events::{Call, Input};
 
@@ -141,21 +141,28 @@
     for draw in [0.0, 0.3, 0.7, 1.0] {
         let mut backoff = Backoff::default();
         for _ in 0..50 {
-            let wait = backoff.failed(Duration::ZERO, draw);
-            assert!(wait <= MAX_WAIT && wait + CALL_TIMEOUT < NOTIFIED_WITHIN, "{wait:?}");
+            let wait = backoff.after_failure(Duration::ZERO, draw);
+            assert!(wait <= MAX_BACKOFF && wait + CALL_TIMEOUT < NOTIFIED_WITHIN, "{wait:?}");
         }
         for took in [CALL_TIMEOUT, Duration::from_secs(60)] {
-            assert!(backoff.failed(took, draw) <= MAX_SPREAD, "what took its time is made again at once");
+            assert!(
+                backoff.after_failure(took, draw) <= MAX_JITTER,
+                "what took its time is made again at once"
+            );
         }
         backoff.reset();
-        assert!(backoff.failed(Duration::ZERO, draw) <= MAX_WAIT / 4, "the next failure is a first one");
+        assert!(
+            backoff.after_failure(Duration::ZERO, draw) <= MAX_BACKOFF / 4,
+            "the next failure is a first one"
+        );
     }
 }
 
 #[test]
 fn a_refusal_keeps_callers_away_from_the_start_of_their_call_on() {
     for took in [Duration::from_millis(20), Duration::from_secs(2), CALL_TIMEOUT] {
-        let wait = |n| Backoff::default().refused(RefusalCause::Unknown, took, f64::from(n) / 20.0) + took;
+        let wait =
+            |n| Backoff::default().after_refusal(RefusalCause::Unknown, took, f64::from(n) / 20.0) + took;
         let waits: Vec<Duration> = (0..=20).map(wait).collect();
         assert!(
             waits[0] >= Duration::from_millis(3500),
@@ -285,7 +292,7 @@
                 news @ (Membership::Failed | Membership::Refused) => {
                     let wait = match news {
                         Membership::Refused => refused_wait(0, RefusalCause::Unknown, Duration::ZERO, 1.0),
-                        _ => MAX_SPREAD,
+                        _ => MAX_JITTER,
                     };
                     self.failures.push((Instant::now(), news));
                     let calls = self.calls.clone();
@@ -409,7 +416,7 @@
         let times: Vec<Instant> = asking.failures.iter().map(|(at, _)| *at).collect();
         assert!(times.len() > 20, "{} calls in ten seconds", times.len());
         let longest = times.windows(2).map(|two| two[1] - two[0]).max().unwrap();
-        assert!(longest < MAX_WAIT / 2, "{longest:?}");
+        assert!(longest < MAX_BACKOFF / 2, "{longest:?}");
     });
 }
 
