--- a/crates/balance/src/balance.rs
+++ b/crates/balance/src/balance.rs
@@ -1,7 +1,8 @@
-//! Every decision of the balancer. Its interface (settings, events, actions) is in `types.rs`.
+//! The decisions of the balancer. Its interface (settings, events, actions) is in `types.rs`.
 //!
-//! The ordinary path is SQ(d): of d random ready endpoints the one with the fewest own calls in flight, ties
-//! at random. Each exception narrows the eligible set or adds to an occupancy; none is a second chooser.
+//! The normal path is SQ(d): of d random ready endpoints, the one with the fewest own calls in flight is
+//! chosen, with ties broken at random. Every exception narrows the eligible set or adds to an endpoint's
+//! occupancy; no other code chooses.
 
 mod attempts;
 mod choice;
@@ -16,50 +17,52 @@
 pub use members::{RefusalCause, refusal_retry_delay};
 pub use snapshot::{EndpointSnapshot, MAX_SNAPSHOT_AGE, Snapshot};
 
-use crate::held::{Held, Kind, Walk};
-use crate::stats::{Draws, Fading, LATENCY_FIRST, Latency, UNHURRIED_FIRST};
+use crate::held::{Cursor, RequestQueue, ValueKey};
+use crate::stats::{BASELINE_SAMPLES, DecayingValue, LatencyStats, MIN_LATENCY_SAMPLES, SeededRng};
 use crate::types::*;
-use crate::uses::Uses;
-use crate::zones::Zones;
+use crate::uses::TenantUsage;
+use crate::zones::ZoneLimits;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// A failure weighs like this many calls in flight, or quick errors would win every sample.
-const FAILURE_HEAT: f64 = 1.0;
-/// Failures weigh no more than this together, so that an endpoint cools within some seconds.
-const HEAT_MOST: f64 = 12.0;
-/// Less heat than this is none: a trace of it would lose every tie and bar an idle endpoint for good.
-const HEAT_LEAST: f64 = 0.5;
-/// Seconds in which the weight of failures falls to a third: long enough for a streak to add up.
-const HEAT_SECONDS: f64 = 4.0;
-/// Seconds in which drag is forgotten to a third: a slow endpoint is tried again.
-const DRAG_SECONDS: f64 = 6.0;
-/// An answer so long ago at most shows that no drain is due yet: they count as told six seconds later.
-const DRAIN_UNTOLD: Duration = Duration::from_secs(5);
-/// Retries that can be saved up, for a fault that strikes many calls at once.
-const RETRY_SAVED: f64 = 10.0;
+/// A failure counts as this many calls in flight; otherwise quick errors would win every sample.
+const FAILURE_PENALTY: f64 = 1.0;
+/// Maximum penalty of an endpoint, so that it recovers within some seconds.
+const MAX_FAILURE_PENALTY: f64 = 12.0;
+/// A smaller penalty counts as none: even a trace would lose every tie and exclude an idle endpoint for
+/// good.
+const MIN_FAILURE_PENALTY: f64 = 0.5;
+/// Seconds in which a penalty decays to a third: long enough for consecutive failures to add up.
+const PENALTY_DECAY_SECONDS: f64 = 4.0;
+/// Seconds in which a slowdown decays to a third, so that a slow endpoint is tried again.
+const SLOWDOWN_DECAY_SECONDS: f64 = 6.0;
+/// An answer this recent rules out an overdue drain: drains count as notified after six seconds.
+const RECENT_ANSWER: Duration = Duration::from_secs(5);
+/// Retry tokens that can be saved, for a fault that hits many calls at once.
+const MAX_RETRY_TOKENS: f64 = 10.0;
 /// Seconds over which rates are averaged.
-const RATE_SECONDS: f64 = 5.0;
-/// Above this share of late answers silence is taken for a jam.
-const LATE_SHARE: f64 = 0.3;
-/// Own calls in flight at an endpoint not known yet, of few balancers: the paper's C before any measurement.
-const LIMIT_START: f64 = 3.0;
-/// An answer is also late beyond this multiple of its class's unhurried mean: work times spread.
-const LATE_MULTIPLE: f64 = 2.5;
-/// Balancers that share each endpoint: few connections, enough calls to learn from, and loads even out.
-const PART_CALLERS: f64 = 4.0;
-/// Seconds in which the value of a refused request fades to a third.
-const MISSED_SECONDS: f64 = 2.0;
+const RATE_DECAY_SECONDS: f64 = 5.0;
+/// Above this share of late answers, missing answers are attributed to overload.
+const OVERLOAD_LATE_SHARE: f64 = 0.3;
+/// Initial limit of own calls in flight at an endpoint, with few balancers: the paper's C before
+/// measurement.
+const INITIAL_LIMIT: f64 = 3.0;
+/// An answer is also late beyond this multiple of its class's baseline latency; work times vary.
+const LATE_BASELINE_MULTIPLE: f64 = 2.5;
+/// Balancers that share each endpoint: few connections, enough calls to learn from, and balanced loads.
+const CALLERS_PER_ENDPOINT: f64 = 4.0;
+/// Seconds in which the value of a refused request decays to a third.
+const REFUSED_DECAY_SECONDS: f64 = 2.0;
 
-/// Faults of this machine pass within moments, or not soon. After the first of a request another endpoint is
-/// tried at once, which may have a connection open; after each further one it waits for so long, so that it
-/// uses up its attempts neither in one instant nor on the processor.
+/// Faults of this machine either pass within moments or last. After a request's first such fault another
+/// endpoint, which may have an open connection, is tried at once. After each further one the request waits
+/// this long, so that it neither uses up its attempts at once nor keeps the processor busy.
 const LOCAL_FAULT_WAIT: Duration = Duration::from_millis(100);
 
-/// What an attempt is known to have done.
+/// What is known about the execution of an attempt.
 #[derive(Clone, Copy, PartialEq)]
-enum Fate {
-    Out,
+enum Run {
+    InFlight,
     NeverRan,
     MayHaveRun,
 }
@@ -70,9 +73,9 @@
     cell: CellId,
     zone: ZoneId,
     sent: Duration,
-    /// How long the connection it went out on had lain idle; none for a new one.
+    /// How long its connection had been idle; zero for a new one.
     idle: Duration,
-    fate: Fate,
+    run: Run,
 }
 
 /// A request until it is finished and all its attempts have ended.
@@ -80,143 +83,145 @@
     class: usize,
     arrived: Duration,
     deadline: Duration,
-    /// Part of its class's worth: little above its tenant's share, and for a repeat.
-    part: f64,
+    /// Fraction of its class's value: reduced over its tenant's share and for a client's retry.
+    value_fraction: f64,
     attempts: Vec<Attempt>,
-    /// Set for it, and dropped with it.
+    /// Timers set for it, which are cancelled when it finishes.
     timers: Vec<TimerToken>,
-    /// Where its job may have run before it came here.
-    earlier: Option<EarlierAttempt>,
+    /// An attempt of the same job that may have run before the request came here.
+    earlier_attempt: Option<EarlierAttempt>,
     finished: bool,
     streaming: bool,
-    /// Its body still comes.
-    coming: bool,
-    /// Part of its body is gone: it can't be sent again.
-    once: bool,
-    /// After a fault of this machine no attempt begins before this.
+    /// Its body is still being received.
+    upload: bool,
+    /// Part of its body is no longer kept: it can't be sent again.
+    body_not_replayable: bool,
+    /// After faults of this machine: no attempt starts before this time.
     not_before: Option<Duration>,
 }
 
 struct Endpoint {
     info: EndpointInfo,
-    /// From when on its start is counted, on this process's monotonic clock; none means long ago.
-    cold_from: Option<Duration>,
-    /// Taken out of use by hand.
+    /// When its start counts from, on this process's monotonic clock; none means long ago.
+    cold_since: Option<Duration>,
+    /// Taken out of use by an operator.
     banned: bool,
-    /// When it was given back: it may have been restarted while out, whatever the list says yet.
-    back: Option<Duration>,
+    /// When its ban was lifted: it may have restarted meanwhile, whatever the list says so far.
+    reinstated_at: Option<Duration>,
     in_flight: u32,
-    /// Recent failures as calls in flight.
-    heat: Fading,
-    /// Its latency as a multiple of the class's unhurried mean, beyond one: what calls of others do to it.
-    drag: Fading,
+    /// Recent failures, expressed as calls in flight.
+    failure_penalty: DecayingValue,
+    /// Its latency beyond the class's baseline, as a multiple of it: the effect of other balancers' calls.
+    slowdown: DecayingValue,
     /// Own calls it may hold: the paper's C, learned from late and timely answers.
     limit: f64,
-    opening: bool,
+    ramping_up: bool,
     limit_cut_at: Duration,
-    /// Let be until then, as it answered late though it holds one own call at most.
-    rests_until: Duration,
-    /// When it last answered, and left a connection idle.
-    heard: Option<Duration>,
-    /// Sends the cold budget still allows, as of `cold_at`.
+    /// Not used until then, because it answered late although at most one own call was allowed.
+    paused_until: Duration,
+    /// When it last answered and so left a connection idle.
+    last_answer_at: Option<Duration>,
+    /// Calls that the cold budget still allows, as of `cold_tokens_at`.
     cold_tokens: f64,
-    cold_at: Duration,
+    cold_tokens_at: Duration,
 }
 
-/// Own attempts out, and how many may be: keeps many balancers from adding up to a jam.
+/// Own attempts in flight and their limit, which keeps many balancers from adding up to an overload.
 #[derive(Clone, Copy)]
 struct Window {
     size: f64,
-    out: u32,
-    opening: bool,
+    in_flight: u32,
+    ramping_up: bool,
 }
 
 enum Timer {
     Deadline(RequestId),
     Overdue(RequestId, AttemptNo),
-    Ask,
+    QueryDiscovery,
     Recheck,
 }
 
-/// The decisions of one balancer.
+/// Makes the decisions of one balancer.
 pub struct Balancer {
     settings: Settings,
-    born: Duration,
-    draws: Draws,
+    created_at: Duration,
+    rng: SeededRng,
     endpoints: Vec<Endpoint>,
     index: HashMap<EndpointId, usize>,
-    /// Taken out of use by hand, listed or not.
+    /// Endpoints taken out of use by an operator, listed or not.
     banned: HashSet<EndpointId>,
-    /// Ready endpoints: of the own zone, of others, each first those of this balancer's part, then all.
+    /// Ready endpoints: the subset in the own zone, that in other zones, all in the own zone, all in
+    /// others.
     pools: [Vec<usize>; 4],
     requests: HashMap<RequestId, Pending>,
-    held: Held,
-    zones: Zones,
-    /// Heat that three quarters of the endpoints share, and not half, or a zone lost would pass for it.
-    common_heat: f64,
-    /// Of the own zone and of all others together: a crowded zone must not shut the others.
+    queue: RequestQueue,
+    zones: ZoneLimits,
+    /// The penalty that three quarters of the endpoints have at least; by half of them, a lost zone would
+    /// count.
+    common_penalty: f64,
+    /// For the own zone and for all others together: a crowded zone must not block the others.
     windows: [Window; 2],
-    /// Its share of windows, limits, cold budget and saved retries: less than one beside another process.
+    /// Share of windows, limits, cold budget and retry tokens: less than one beside another process.
     share: f64,
-    recheck_set: bool,
-    /// The value of the worthiest request refused of late without having been sent.
-    missed: Fading,
+    recheck_scheduled: bool,
+    /// The highest value of a request that was recently refused without having been sent.
+    refused_value: DecayingValue,
     timers: HashMap<u64, Timer>,
     next_timer: u64,
-    latency: Vec<Latency>,
+    latency: Vec<LatencyStats>,
     retry_tokens: f64,
-    /// Requests by tenant.
-    tenants: Uses,
-    arrivals: Fading,
-    /// The share of ready endpoints that are warm and not let be, as seen of late.
-    warm: f64,
-    /// Requests served by warm endpoints.
-    served: Fading,
-    /// The most a warm endpoint has lately been seen to serve for this balancer, a second.
-    proven: Fading,
-    /// Attempts lately without an answer, less what answers refute.
-    silence: Fading,
+    /// Request rates by tenant.
+    tenants: TenantUsage,
+    arrival_rate: DecayingValue,
+    /// The recent share of ready endpoints that are warm and not paused.
+    warm_share: f64,
+    /// Rate of requests served by warm endpoints.
+    warm_served_rate: DecayingValue,
+    /// The highest recent rate of one warm endpoint for this balancer, per second.
+    peak_warm_rate: DecayingValue,
+    /// Recent attempts without an answer, less what answers refute.
+    missing_answers: DecayingValue,
     late_share: f64,
-    /// How far silence goes with connections that lay idle, and from how long on.
-    stale: f64,
-    reaped_after: Duration,
-    ask_failures: u32,
-    ask_refusals: u32,
-    asked: Duration,
+    /// Evidence that answers go missing on connections that were idle, and from which idle time on.
+    stale_evidence: f64,
+    idle_drop_after: Duration,
+    discovery_failures: u32,
+    discovery_refusals: u32,
+    discovery_queried_at: Duration,
     /// Since when discovery has failed.
-    list_old: Option<Duration>,
-    /// From then on nothing new may begin by the list.
-    list_expires: Option<Duration>,
-    /// Only endpoints that have answered of late are chosen: others may drain unheard.
-    blind: bool,
-    started: bool,
-    /// A list that names endpoints has been taken: starts that become known from now on are new.
-    listed: bool,
+    list_stale_since: Option<Duration>,
+    /// When the list expires: nothing new may be started by it from then on.
+    list_expires_at: Option<Duration>,
+    /// Only endpoints that answered recently are chosen: others may be draining without notice.
+    recent_answer_required: bool,
+    list_received: bool,
+    /// A list with endpoints was received: starts that become known from now on are new.
+    nonempty_list_received: bool,
 }
 
 impl Pending {
-    /// Whether nothing is to be decided for it any more.
+    /// Whether there is nothing left to decide for it.
     fn settled(&self) -> bool {
         self.finished || self.streaming
     }
 
-    /// This machine could open no connection for it.
-    fn note_local_fault(&mut self, now: Duration) {
+    /// Records that this machine could open no connection for it.
+    fn record_local_fault(&mut self, now: Duration) {
         self.not_before = Some(self.not_before.map_or(now, |_| now + LOCAL_FAULT_WAIT));
     }
 
-    fn may_begin(&self, now: Duration) -> bool {
+    fn may_start(&self, now: Duration) -> bool {
         self.not_before.is_none_or(|at| now >= at)
     }
 
-    fn none_out(&self) -> bool {
-        self.attempts.iter().all(|a| a.fate != Fate::Out)
+    fn none_in_flight(&self) -> bool {
+        self.attempts.iter().all(|a| a.run != Run::InFlight)
     }
 
-    /// The sends that are not known never to have run, the first in front.
+    /// The attempts that may have run, the first one first.
     fn may_have_run(&self) -> impl Iterator<Item = EarlierAttempt> {
-        let own = self.attempts.iter().filter(|a| a.fate != Fate::NeverRan);
-        self.earlier.into_iter().chain(own.map(|a| EarlierAttempt {
+        let own = self.attempts.iter().filter(|a| a.run != Run::NeverRan);
+        self.earlier_attempt.into_iter().chain(own.map(|a| EarlierAttempt {
             zone: a.zone,
             cell: a.cell,
             sent: a.sent,
@@ -225,82 +230,84 @@
 }
 
 impl Balancer {
-    /// A balancer that knows no endpoints yet. Equal settings, seeds and events give equal actions.
+    /// Creates a balancer that knows no endpoints. Equal settings, seeds and events yield equal actions.
     pub fn new(settings: Settings, seed: u64, now: Duration) -> Result<Self, SettingsError> {
         settings.validate()?;
         let classes = settings.classes.len();
         let allowances = settings.tenants.iter().map(|tenant| tenant.allowance_per_s);
-        let tenants = Uses::new(allowances, RATE_SECONDS, now);
+        let tenants = TenantUsage::new(allowances, RATE_DECAY_SECONDS, now);
         Ok(Balancer {
             settings,
-            born: now,
-            draws: Draws::new(seed),
+            created_at: now,
+            rng: SeededRng::new(seed),
             endpoints: Vec::new(),
             index: HashMap::new(),
             banned: HashSet::new(),
             pools: Default::default(),
             requests: HashMap::new(),
-            held: Held::default(),
-            zones: Zones::default(),
-            common_heat: 0.0,
-            windows: [Window { size: 1.0, out: 0, opening: true }; 2],
+            queue: RequestQueue::default(),
+            zones: ZoneLimits::default(),
+            common_penalty: 0.0,
+            windows: [Window { size: 1.0, in_flight: 0, ramping_up: true }; 2],
             share: 1.0,
-            recheck_set: false,
-            missed: Fading::default(),
+            recheck_scheduled: false,
+            refused_value: DecayingValue::default(),
             timers: HashMap::new(),
             next_timer: 0,
-            latency: vec![Latency::default(); classes],
-            retry_tokens: RETRY_SAVED,
+            latency: vec![LatencyStats::default(); classes],
+            retry_tokens: MAX_RETRY_TOKENS,
             tenants,
-            arrivals: Fading::default(),
-            warm: 1.0,
-            served: Fading::default(),
-            proven: Fading::default(),
-            silence: Fading::default(),
+            arrival_rate: DecayingValue::default(),
+            warm_share: 1.0,
+            warm_served_rate: DecayingValue::default(),
+            peak_warm_rate: DecayingValue::default(),
+            missing_answers: DecayingValue::default(),
             late_share: 0.0,
-            stale: 0.0,
-            reaped_after: Duration::MAX,
-            ask_failures: 0,
-            ask_refusals: 0,
-            asked: now,
-            list_old: None,
-            list_expires: None,
-            blind: false,
-            started: false,
-            listed: false,
+            stale_evidence: 0.0,
+            idle_drop_after: Duration::MAX,
+            discovery_failures: 0,
+            discovery_refusals: 0,
+            discovery_queried_at: now,
+            list_stale_since: None,
+            list_expires_at: None,
+            recent_answer_required: false,
+            list_received: false,
+            nonempty_list_received: false,
         })
     }
 
-    /// Takes one event at `now` and appends what is to be done.
+    /// Handles one event at `now` and appends the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Membership(news) => self.on_membership(now, news, out),
+            Event::Membership(update) => self.on_membership(now, update, out),
             Event::ListLease { expires } => self.on_list_lease(now, expires, out),
             Event::Request(request) => self.on_request(now, request, out),
             Event::StreamStarted { request, .. } => {
                 self.requests.get_mut(&request).into_iter().for_each(|p| p.streaming = true)
             }
             Event::BodyNotReplayable(id) => {
-                self.requests.get_mut(&id).into_iter().for_each(|p| p.once = true)
+                self.requests.get_mut(&id).into_iter().for_each(|p| p.body_not_replayable = true)
+            }
+            Event::BodyComplete { request, time_left } => {
+                self.on_body_complete(now, request, time_left, out)
             }
-            Event::BodyComplete { request, time_left } => self.on_body_whole(now, request, time_left, out),
             Event::AttemptEnded(ended) => self.on_attempt_ended(now, ended, out),
             Event::RequestAbandoned(id) => self.finish(id, out),
             Event::Timer(token) => match self.timers.remove(&token.0) {
-                Some(Timer::Deadline(id)) => self.give_up(id, out),
+                Some(Timer::Deadline(id)) => self.reject_or_fail(id, out),
                 Some(Timer::Overdue(id, attempt)) => self.on_overdue(now, id, attempt, out),
-                Some(Timer::Ask) => {
-                    self.asked = now;
+                Some(Timer::QueryDiscovery) => {
+                    self.discovery_queried_at = now;
                     out.push(Action::Watch(true));
                 }
                 Some(Timer::Recheck) => {
-                    self.recheck_set = false;
-                    self.drop_late(now, out);
-                    self.release_held(now, out);
+                    self.recheck_scheduled = false;
+                    self.shed_late(now, out);
+                    self.dispatch_queued(now, out);
                 }
                 None => {}
             },
-            Event::Zones(rights) => self.on_zones(now, rights, out),
+            Event::Zones(admissions) => self.on_zone_admissions(now, admissions, out),
             Event::Ban { endpoint, banned } => self.on_ban(now, endpoint, banned, out),
             Event::ProbeEnded { .. } | Event::PeerMessage { .. } => {}
         }
@@ -324,12 +331,12 @@
         self.info.state == EndpointState::Ready && !self.banned
     }
 
-    fn add_heat(&mut self, now: Duration, heat: f64) {
-        self.heat.set(now, (self.heat(now) + heat).min(HEAT_MOST));
+    fn add_penalty(&mut self, now: Duration, penalty: f64) {
+        self.failure_penalty.set(now, (self.failure_penalty(now) + penalty).min(MAX_FAILURE_PENALTY));
     }
 
-    fn heat(&self, now: Duration) -> f64 {
-        let heat = self.heat.read(now, HEAT_SECONDS);
-        if heat < HEAT_LEAST { 0.0 } else { heat }
+    fn failure_penalty(&self, now: Duration) -> f64 {
+        let penalty = self.failure_penalty.value_at(now, PENALTY_DECAY_SECONDS);
+        if penalty < MIN_FAILURE_PENALTY { 0.0 } else { penalty }
     }
 }
--- a/crates/balance/src/balance/attempts.rs
+++ b/crates/balance/src/balance/attempts.rs
@@ -1,23 +1,23 @@
-//! A request from its coming to its end: attempts, what is held, and the last word.
+//! The life of a request: its attempts, waiting in the queue, and its final answer.
 
 use super::*;
 
-/// Retries that each new request earns; all tiers retry, so the product must stay near one.
-const RETRY_EARN: f64 = 0.2;
-/// An attempt's answer may never come once it is out for the mean and so many mean distances from it ...
-const SILENT_SPREADS: f64 = 8.0;
-/// ... or already after so many, while endpoints are known to be silent: few answers take as long.
+/// Retry tokens earned by each new request; all tiers retry, so their product must stay near one.
+const RETRY_TOKENS_EARNED: f64 = 0.2;
+/// An answer may never come once it takes this many mean deviations longer than the mean ...
+const MISSING_SPREADS: f64 = 8.0;
+/// ... or this many while other answers are known to be missing: few answers take that long.
 const OVERDUE_SPREADS: f64 = 2.0;
-/// What an answer on an old connection says against its kind being dropped unseen.
-const STALE_REFUTED: f64 = 0.25;
-/// A client's repeat has spent some of its objective: it counts as a late answer does, or at least so much.
-const REPEAT_LEAST: f64 = 0.1;
-/// Held requests are looked at again this often, besides whenever a call ends.
-const HOLD_RECHECK: Duration = Duration::from_millis(20);
-/// Part of the objective, less the way back, after which what is worth nothing late holds servers in vain.
-const AIM_PART: f64 = 0.98;
-/// A tenant is over its share beyond this multiple of what the median tenant uses of its own.
-const SHARE_SLACK: f64 = 1.5;
+/// How much an answer on a long idle connection refutes that such connections are dropped silently.
+const STALE_EVIDENCE_REFUTED: f64 = 0.25;
+/// A client's retry has used part of its objective: its value is that of a late answer, or at least this.
+const MIN_CLIENT_RETRY_VALUE: f64 = 0.1;
+/// Interval at which queued requests are checked, besides whenever an attempt ends.
+const QUEUE_RECHECK: Duration = Duration::from_millis(20);
+/// Fraction of the objective, less the way back, after which a request worth nothing late wastes servers.
+const OBJECTIVE_FRACTION: f64 = 0.98;
+/// A tenant is over its share beyond this multiple of the median tenant's usage.
+const TENANT_SHARE_SLACK: f64 = 1.5;
 
 impl Balancer {
     pub(super) fn on_request(&mut self, now: Duration, request: Request, out: &mut Vec<Action>) {
@@ -25,97 +25,98 @@
         if self.requests.contains_key(&id) {
             return;
         }
-        self.arrivals.count(now, RATE_SECONDS);
-        self.retry_tokens = (self.retry_tokens + RETRY_EARN).min(RETRY_SAVED * self.share);
+        self.arrival_rate.count(now, RATE_DECAY_SECONDS);
+        self.retry_tokens = (self.retry_tokens + RETRY_TOKENS_EARNED).min(MAX_RETRY_TOKENS * self.share);
         let class = request.class.0.min(self.settings.classes.len() - 1);
-        let over_share = self.over_share(now, request.tenant.0);
-        let mut part = if over_share { self.settings.over_share_worth } else { 1.0 };
+        let over_share = self.exceeds_tenant_share(now, request.tenant.0);
+        let mut value_fraction = if over_share { self.settings.over_share_worth } else { 1.0 };
         if request.client_retry {
-            part *= self.settings.classes[class].late_value.max(REPEAT_LEAST);
+            value_fraction *= self.settings.classes[class].late_value.max(MIN_CLIENT_RETRY_VALUE);
         }
-        let time_left = self.useful(class, request.time_left);
+        let time_left = self.useful_time(class, request.time_left);
         let pending = Pending {
             class,
             arrived: now,
             deadline: now + time_left,
-            part,
+            value_fraction,
             attempts: Vec::new(),
             timers: Vec::new(),
-            earlier: request.earlier_attempt,
+            earlier_attempt: request.earlier_attempt,
             finished: false,
             streaming: false,
-            coming: request.body_incomplete,
-            once: false,
+            upload: request.body_incomplete,
+            body_not_replayable: false,
             not_before: None,
         };
         self.requests.insert(id, pending);
         self.set_timer(time_left, Timer::Deadline(id), out);
-        self.advance(now, id, out);
+        self.dispatch_or_queue(now, id, out);
     }
 
-    /// The time in which an answer is worth something; below the first tier the caller has seen to it.
-    fn useful(&self, class: usize, left: Duration) -> Duration {
+    /// The time in which an answer has value; below the first tier the caller has limited it already.
+    fn useful_time(&self, class: usize, left: Duration) -> Duration {
         let class = &self.settings.classes[class];
         let only_in_time = class.late_value <= 0.0 && self.settings.tier == 0;
-        if only_in_time { left.min(class.objective.mul_f64(AIM_PART)) } else { left }
+        if only_in_time { left.min(class.objective.mul_f64(OBJECTIVE_FRACTION)) } else { left }
     }
 
-    /// A long body's last byte has come: what is timed begins only now.
-    pub(super) fn on_body_whole(
+    /// Handles the end of a long body: the request's times start only now.
+    pub(super) fn on_body_complete(
         &mut self,
         now: Duration,
         id: RequestId,
         left: Duration,
         out: &mut Vec<Action>,
     ) {
-        let left = self.useful(self.requests.get(&id).map_or(0, |p| p.class), left);
-        let Some(pending) = self.requests.get_mut(&id).filter(|p| p.coming && !p.settled()) else { return };
-        (pending.coming, pending.arrived, pending.deadline) = (false, now, now + left);
-        if self.held.contains(id) {
-            self.held.put(id, Kind::new(pending.class, pending.part), now);
+        let left = self.useful_time(self.requests.get(&id).map_or(0, |p| p.class), left);
+        let Some(pending) = self.requests.get_mut(&id).filter(|p| p.upload && !p.settled()) else { return };
+        (pending.upload, pending.arrived, pending.deadline) = (false, now, now + left);
+        if self.queue.contains(id) {
+            self.queue.insert(id, ValueKey::new(pending.class, pending.value_fraction), now);
         }
-        let mut outs = Vec::new();
-        for (n, attempt) in pending.attempts.iter_mut().enumerate().filter(|(_, a)| a.fate == Fate::Out) {
-            attempt.sent = now;
-            outs.push((AttemptNo(n as u32), attempt.endpoint));
+        let mut in_flight = Vec::new();
+        for (n, open) in pending.attempts.iter_mut().enumerate().filter(|(_, a)| a.run == Run::InFlight) {
+            open.sent = now;
+            in_flight.push((AttemptNo(n as u32), open.endpoint));
         }
         self.set_timer(left, Timer::Deadline(id), out);
-        for (number, endpoint) in outs {
+        for (number, endpoint) in in_flight {
             if let Some(&i) = self.index.get(&endpoint) {
-                let side = self.side(i);
-                self.windows[side].out += 1;
+                let zone_group = self.zone_group(i);
+                self.windows[zone_group].in_flight += 1;
             }
-            self.set_overdue(now, id, number, out);
+            self.arm_overdue(now, id, number, out);
         }
     }
 
-    /// Sends a request that has no attempt out, or holds it, or gives it up.
-    fn advance(&mut self, now: Duration, id: RequestId, out: &mut Vec<Action>) {
+    /// Sends a request that has no attempt in flight, or queues it, or ends it.
+    fn dispatch_or_queue(&mut self, now: Duration, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id).filter(|p| !p.settled()) else { return };
         let spent = pending.attempts.len() as u32 >= self.settings.limits.max_attempts;
-        // A held repeat may have outlived the time in which its key is remembered: ask again here.
+        // A queued retry may have outlasted the time in which its key is remembered, so this is checked
+        // again.
         let spent =
-            spent || pending.deadline <= now || self.too_late(now, pending) || self.is_stuck(pending);
-        if spent || !self.may_repeat(now, id) {
-            return self.give_up(id, out);
+            spent || pending.deadline <= now || self.too_late(now, pending) || self.is_unroutable(pending);
+        if spent || !self.may_retry(now, id) {
+            return self.reject_or_fail(id, out);
         }
-        let (kind, arrived) = (Kind::new(pending.class, pending.part), pending.arrived);
-        let Some(i) = pending.may_begin(now).then(|| self.pick(now, id)).flatten() else {
-            self.held.put(id, kind, arrived);
-            return self.set_recheck(out);
+        let (key, arrived) = (ValueKey::new(pending.class, pending.value_fraction), pending.arrived);
+        let Some(i) = pending.may_start(now).then(|| self.choose_endpoint(now, id)).flatten() else {
+            self.queue.insert(id, key, arrived);
+            return self.schedule_recheck(out);
         };
         self.send(now, id, i, out);
     }
 
-    /// Whether it may go only where its job may have run, and nothing may go there.
-    fn is_stuck(&self, pending: &Pending) -> bool {
+    /// Whether it may be sent only where its job may have run, and nothing may be sent there.
+    fn is_unroutable(&self, pending: &Pending) -> bool {
         let (semantics, elsewhere) =
             (self.settings.classes[pending.class].semantics, (ZoneId(!0), CellId(!0)));
         let stays = |ran: &EarlierAttempt| !semantics.may_retry_at((ran.zone, ran.cell), elsewhere);
         pending.may_have_run().any(|ran| stays(&ran) && !self.zones.is_open(ran.zone))
     }
 
-    /// Whether what has waited, untried or worth nothing late, would come after its objective or deadline.
+    /// Whether a waiting request, if untried or worth nothing late, would miss its objective or deadline.
     fn too_late(&self, now: Duration, pending: &Pending) -> bool {
         let usual = Duration::from_secs_f64(self.latency[pending.class].mean);
         let objective = pending.arrived + self.settings.classes[pending.class].objective;
@@ -125,48 +126,48 @@
     }
 
     fn send(&mut self, now: Duration, id: RequestId, i: usize, out: &mut Vec<Action>) {
-        let (cold_tokens, side) = (self.cold_tokens(now, i), self.side(i));
-        let silent = self.silent(now);
+        let (cold_tokens, zone_group) = (self.cold_tokens(now, i), self.zone_group(i));
+        let missing = self.answers_missing(now);
         let endpoint = &mut self.endpoints[i];
         let Some(pending) = self.requests.get_mut(&id) else { return };
-        let mut idle = endpoint.heard.map_or(Duration::ZERO, |at| now.saturating_sub(at));
-        if silent && idle >= self.reaped_after {
-            // Something on the way drops idle connections unseen; a handshake costs less than a lost call.
+        let mut idle = endpoint.last_answer_at.map_or(Duration::ZERO, |at| now.saturating_sub(at));
+        if missing && idle >= self.idle_drop_after {
+            // Something on the path drops idle connections silently; a handshake costs less than a call.
             out.push(Action::CloseIdle { endpoint: endpoint.info.id });
-            endpoint.heard = None;
+            endpoint.last_answer_at = None;
             idle = Duration::ZERO;
         }
         endpoint.in_flight += 1;
-        self.zones.sent(now, endpoint.info.zone);
-        // A body that still comes keeps no server busy: it is in flight there, but fills no window.
-        self.windows[side].out += u32::from(!pending.coming);
-        (endpoint.cold_tokens, endpoint.cold_at) = (cold_tokens - 1.0, now);
+        self.zones.record_send(now, endpoint.info.zone);
+        // While its body is received a request keeps no server busy: it is not counted in the window.
+        self.windows[zone_group].in_flight += u32::from(!pending.upload);
+        (endpoint.cold_tokens, endpoint.cold_tokens_at) = (cold_tokens - 1.0, now);
         pending.attempts.push(Attempt {
             endpoint: endpoint.info.id,
             cell: endpoint.info.cell,
             zone: endpoint.info.zone,
             sent: now,
             idle,
-            fate: Fate::Out,
+            run: Run::InFlight,
         });
         let timeout = pending.deadline.saturating_sub(now);
         out.push(Action::Send { request: id, endpoint: endpoint.info.id, timeout });
         let number = AttemptNo(pending.attempts.len() as u32 - 1);
-        self.set_overdue(now, id, number, out);
+        self.arm_overdue(now, id, number, out);
     }
 
-    /// Has an attempt looked at again once it is out for longer than answers take.
-    fn set_overdue(&mut self, now: Duration, id: RequestId, number: AttemptNo, out: &mut Vec<Action>) {
-        let silent = self.silent(now);
-        let Some(pending) = self.requests.get(&id).filter(|p| !p.coming) else { return };
+    /// Sets a timer to check an attempt once it takes longer than answers usually do.
+    fn arm_overdue(&mut self, now: Duration, id: RequestId, number: AttemptNo, out: &mut Vec<Action>) {
+        let missing = self.answers_missing(now);
+        let Some(pending) = self.requests.get(&id).filter(|p| !p.upload) else { return };
         let (class, timeout) = (pending.class, pending.deadline.saturating_sub(now));
-        let overdue = self.latency[class].overdue(if silent { OVERDUE_SPREADS } else { SILENT_SPREADS });
-        if self.latency[class].seen >= LATENCY_FIRST && overdue < timeout {
+        let overdue = self.latency[class].overdue(if missing { OVERDUE_SPREADS } else { MISSING_SPREADS });
+        if self.latency[class].count >= MIN_LATENCY_SAMPLES && overdue < timeout {
             self.set_timer(overdue, Timer::Overdue(id, number), out);
         }
     }
 
-    /// Sends a second copy, or where none is allowed the request again, while endpoints are silent.
+    /// While answers are missing, sends a second copy, or cancels the attempt where copies are not allowed.
     pub(super) fn on_overdue(
         &mut self,
         now: Duration,
@@ -177,23 +178,23 @@
         let Some(pending) = self.requests.get(&id) else { return };
         let n = number.0 as usize;
         let (attempt, tries) = (pending.attempts[n], pending.attempts.len());
-        if pending.settled() || attempt.fate != Fate::Out || tries > n + 1 {
+        if pending.settled() || attempt.run != Run::InFlight || tries > n + 1 {
             return;
         }
-        let long = self.latency[pending.class].overdue(SILENT_SPREADS);
-        // One alone, too: answers may be swallowed here and there. Retries' tokens bound the copies.
-        let lone = now + self.settings.tick >= attempt.sent + long && self.late_share < LATE_SHARE;
+        let long = self.latency[pending.class].overdue(MISSING_SPREADS);
+        // Applies to one alone too, as answers may be lost here and there. Retry tokens bound the copies.
+        let lone = now + self.settings.tick >= attempt.sent + long && self.late_share < OVERLOAD_LATE_SHARE;
         if lone {
-            self.note_silence(now, attempt);
+            self.record_missing_answer(now, attempt);
         }
         let (limits, copies) = (&self.settings.limits, self.settings.limits.second_copies);
         let more = tries < limits.max_attempts as usize && self.retry_tokens >= 1.0;
-        if !more || !(lone && copies || self.silent(now)) || !self.may_repeat(now, id) {
+        if !more || !(lone && copies || self.answers_missing(now)) || !self.may_retry(now, id) {
             return;
         }
         if !copies && limits.cancelling {
             out.push(Action::Cancel { request: id, attempt: number });
-        } else if copies && let Some(i) = self.pick(now, id) {
+        } else if copies && let Some(i) = self.choose_endpoint(now, id) {
             self.retry_tokens -= 1.0;
             self.send(now, id, i, out);
         }
@@ -203,58 +204,57 @@
         let id = ended.request;
         let Some(pending) = self.requests.get_mut(&id) else { return };
         let n = ended.attempt.0 as usize;
-        let Some(attempt) = pending.attempts.get_mut(n).filter(|a| a.fate == Fate::Out) else { return };
+        let Some(attempt) = pending.attempts.get_mut(n).filter(|a| a.run == Run::InFlight) else { return };
         let idle = attempt.idle;
-        attempt.fate = if ended.outcome.never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
-        let (class, coming) = (pending.class, pending.coming);
+        attempt.run = if ended.outcome.never_ran() { Run::NeverRan } else { Run::MayHaveRun };
+        let (class, upload) = (pending.class, pending.upload);
         if ended.outcome == Outcome::LocalFault {
-            pending.note_local_fault(now);
+            pending.record_local_fault(now);
         }
-        if ended.outcome == Outcome::Ok && idle >= self.reaped_after {
-            self.stale -= STALE_REFUTED;
+        if ended.outcome == Outcome::Ok && idle >= self.idle_drop_after {
+            self.stale_evidence -= STALE_EVIDENCE_REFUTED;
         }
-        if self.stale < 1.0 {
-            (self.reaped_after, self.stale) = (Duration::MAX, self.stale.max(0.0));
+        if self.stale_evidence < 1.0 {
+            (self.idle_drop_after, self.stale_evidence) = (Duration::MAX, self.stale_evidence.max(0.0));
         }
-        let overtaken = |p: &Pending| p.attempts[..n].iter().copied().find(|a| a.fate == Fate::Out);
+        let overtaken = |p: &Pending| p.attempts[..n].iter().copied().find(|a| a.run == Run::InFlight);
         if ended.outcome == Outcome::Ok
-            && let Some(silent) = self.requests.get(&id).and_then(overtaken)
+            && let Some(missing) = self.requests.get(&id).and_then(overtaken)
         {
-            self.note_silence(now, silent);
+            self.record_missing_answer(now, missing);
         }
-        self.learn(now, class, coming, &ended);
+        self.learn_from_outcome(now, class, upload, &ended);
         if ended.finished {
             self.finish(id, out);
         }
-        let idle = self.requests.get(&id).is_some_and(|p| !p.settled() && p.none_out());
-        // What was withdrawn before its first byte is chosen anew, and no retry; nor does a fault of this
-        // machine put any load on an endpoint.
+        let undecided = self.requests.get(&id).is_some_and(|p| !p.settled() && p.none_in_flight());
+        // Neither an attempt withdrawn before its first byte nor a local fault puts load on an endpoint.
         let cost = if matches!(ended.outcome, Outcome::NotSent | Outcome::LocalFault) { 0.0 } else { 1.0 };
-        if idle && self.retry_tokens >= cost && self.may_repeat(now, id) {
+        if undecided && self.retry_tokens >= cost && self.may_retry(now, id) {
             self.retry_tokens -= cost;
-            self.advance(now, id, out);
-        } else if idle {
-            self.give_up(id, out);
+            self.dispatch_or_queue(now, id, out);
+        } else if undecided {
+            self.reject_or_fail(id, out);
         }
-        self.forget(id);
-        self.release_held(now, out);
+        self.remove_if_done(id);
+        self.dispatch_queued(now, out);
     }
 
     /// Rule 2: whether a further attempt is allowed at all.
-    fn may_repeat(&self, now: Duration, id: RequestId) -> bool {
-        let whole = |p: &&Pending| !p.once || p.attempts.is_empty();
+    fn may_retry(&self, now: Duration, id: RequestId) -> bool {
+        let whole = |p: &&Pending| !p.body_not_replayable || p.attempts.is_empty();
         let Some(pending) = self.requests.get(&id).filter(whole) else { return false };
         let first = pending.may_have_run().next().map(|ran| ran.sent);
         self.settings.classes[pending.class].semantics.may_retry(now, first)
     }
 
-    /// The last word on a request that can't be served: a refusal where that is true, else a failure.
-    pub(super) fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// The final answer if it can't be served: a refusal where the client may safely retry, else a failure.
+    pub(super) fn reject_or_fail(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id).filter(|p| !p.settled()) else { return };
         let may_have_run = pending.may_have_run().next().is_some();
         let harmless = self.settings.classes[pending.class].semantics.client_may_retry(may_have_run);
-        // The time in which a place comes free.
-        let usual = Duration::from_secs_f64(self.latency[pending.class].mean).max(HOLD_RECHECK);
+        // The time in which capacity becomes free.
+        let usual = Duration::from_secs_f64(self.latency[pending.class].mean).max(QUEUE_RECHECK);
         let limits = &self.settings.limits;
         let retry_after = limits.retry_after.then(|| usual.min(limits.max_retry_after));
         let refusal = Action::Refuse { request: id, retry_after };
@@ -262,12 +262,12 @@
         self.finish(id, out);
     }
 
-    /// Marks a request finished, stops what is still out for it, and forgets it if nothing is.
+    /// Marks a request finished, cancels its attempts in flight, and removes it if there are none.
     pub(super) fn finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
         if !std::mem::replace(&mut pending.finished, true) {
             for (number, attempt) in pending.attempts.iter().enumerate() {
-                if attempt.fate == Fate::Out && !pending.streaming && self.settings.limits.cancelling {
+                if attempt.run == Run::InFlight && !pending.streaming && self.settings.limits.cancelling {
                     out.push(Action::Cancel { request: id, attempt: AttemptNo(number as u32) });
                 }
             }
@@ -277,69 +277,69 @@
                 out.push(Action::CancelTimer { token });
             }
         }
-        self.held.remove(id);
-        self.forget(id);
+        self.queue.remove(id);
+        self.remove_if_done(id);
     }
 
-    fn forget(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|p| p.finished && p.none_out()) {
+    fn remove_if_done(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|p| p.finished && p.none_in_flight()) {
             self.requests.remove(&id);
         }
     }
 
-    /// Sends what is held, as far as there is room; with hundreds held, looking further would cost too much.
-    pub(super) fn release_held(&mut self, now: Duration, out: &mut Vec<Action>) {
-        if self.held.is_empty() || !self.any_room(now) {
+    /// Sends queued requests while there is capacity; with hundreds queued, a full search costs too much.
+    pub(super) fn dispatch_queued(&mut self, now: Duration, out: &mut Vec<Action>) {
+        if self.queue.is_empty() || !self.any_capacity(now) {
             return;
         }
-        // The worthiest first, and of equals the last: in a jam the oldest, and all behind it, would be late.
-        let mut walk = Walk::default();
-        while let Some(id) = self.held.next(&mut walk, |kind| self.worth(kind.class(), kind.part())) {
+        // Highest value first, then the latest: in an overload the oldest, and all after it, would be late.
+        let mut iter = Cursor::default();
+        while let Some(id) = self.queue.next(&mut iter, |key| self.value_of(key.class(), key.fraction())) {
             let untried = self.requests.get(&id).is_some_and(|p| p.attempts.is_empty());
-            self.held.remove(id);
-            self.advance(now, id, out);
-            // What found no endpoint, though all are open to it, leaves none to the others either.
-            if !self.any_room(now) || (untried && self.held.contains(id)) {
+            self.queue.remove(id);
+            self.dispatch_or_queue(now, id, out);
+            // If a request that may go anywhere found no endpoint, the others won't find one either.
+            if !self.any_capacity(now) || (untried && self.queue.contains(id)) {
                 return;
             }
         }
     }
 
-    /// Refuses what is held too long.
-    pub(super) fn drop_late(&mut self, now: Duration, out: &mut Vec<Action>) {
+    /// Refuses queued requests that are too late.
+    pub(super) fn shed_late(&mut self, now: Duration, out: &mut Vec<Action>) {
         let late = |id: RequestId| self.requests.get(&id).is_some_and(|p| self.too_late(now, p));
-        for id in self.held.which(late) {
+        for id in self.queue.matching(late) {
             let value = self.value(id);
-            self.missed.set(now, value.max(self.missed.read(now, MISSED_SECONDS)));
-            self.give_up(id, out);
+            self.refused_value.set(now, value.max(self.refused_value.value_at(now, REFUSED_DECAY_SECONDS)));
+            self.reject_or_fail(id, out);
         }
-        if !self.held.is_empty() {
-            self.set_recheck(out);
+        if !self.queue.is_empty() {
+            self.schedule_recheck(out);
         }
     }
 
-    /// What serving a request adds to the result for the time it keeps a server busy.
+    /// The value gained by serving a request, per time for which it keeps a server busy.
     pub(super) fn value(&self, id: RequestId) -> f64 {
-        self.requests.get(&id).map_or(0.0, |pending| self.worth(pending.class, pending.part))
+        self.requests.get(&id).map_or(0.0, |pending| self.value_of(pending.class, pending.value_fraction))
     }
 
-    fn worth(&self, class: usize, part: f64) -> f64 {
-        self.settings.classes[class].worth * part / self.latency[class].unhurried.max(0.001)
+    fn value_of(&self, class: usize, fraction: f64) -> f64 {
+        self.settings.classes[class].worth * fraction / self.latency[class].baseline.max(0.001)
     }
 
-    /// Counts a tenant's request; whether it lies above its share, judged by the median tenant.
-    fn over_share(&mut self, now: Duration, tenant: usize) -> bool {
+    /// Counts a tenant's request. Returns whether it is over its share, judged by the median tenant.
+    fn exceeds_tenant_share(&mut self, now: Duration, tenant: usize) -> bool {
         if !self.tenants.count(now, tenant) {
             return false;
         }
-        let fair = self.tenants.median(now) * SHARE_SLACK;
-        let excess = 1.0 - fair / self.tenants.used(now, tenant).max(1e-9);
-        self.draws.uniform() < excess
+        let fair = self.tenants.median(now) * TENANT_SHARE_SLACK;
+        let excess = 1.0 - fair / self.tenants.usage(now, tenant).max(1e-9);
+        self.rng.uniform() < excess
     }
 
-    fn set_recheck(&mut self, out: &mut Vec<Action>) {
-        if !std::mem::replace(&mut self.recheck_set, true) {
-            self.set_timer(HOLD_RECHECK, Timer::Recheck, out);
+    fn schedule_recheck(&mut self, out: &mut Vec<Action>) {
+        if !std::mem::replace(&mut self.recheck_scheduled, true) {
+            self.set_timer(QUEUE_RECHECK, Timer::Recheck, out);
         }
     }
 }
--- a/crates/balance/src/balance/choice.rs
+++ b/crates/balance/src/balance/choice.rs
@@ -1,83 +1,99 @@
-//! The choice: the eligible set, d samples, the least occupied; and how much room there is.
+//! Endpoint selection: the eligible set, d samples, the least occupied; and the capacity for further calls.
 
 use super::*;
 
 /// Endpoints sampled for a call: the paper's d; two gives most of the gain.
-const CHOICES: usize = 2;
-/// Endpoints of a pool looked at for one choice, open or not: work a request must not grow with the fleet.
-const DRAWS: usize = 16;
-/// An endpoint's answers may take longer than the unhurried mean by this multiple of it before that counts.
-const DRAG_FREE: f64 = 0.5;
-/// Occupancy by which an endpoint of another zone must be better: a crossing costs time and money.
-const CROSS_MARGIN: f64 = 1.0;
-/// Discovery is mostly heard again within the first; after the second without a refusal the old list serves.
-pub(super) const BLIND_AFTER: Duration = Duration::from_secs(2);
-const BLIND_MOST: Duration = Duration::from_secs(15);
-/// Weight of one look in the share of endpoints that are warm: some are looked at for each choice.
-const WARM_WEIGHT: f64 = 0.05;
-/// Nobody is let be while no larger share than this is warm and not let be.
-const REST_MOST: f64 = 0.5;
-/// Calls of all balancers at each endpoint beyond which floors of one call are too many.
-const FLOOR_CALLS: f64 = 8.0;
+const SAMPLE_SIZE: usize = 2;
+/// Endpoints of a pool examined for one choice: the work per request must not grow with the fleet.
+const MAX_EXAMINED: usize = 16;
+/// Slowdown, as a multiple of the baseline latency, that does not count against an endpoint.
+const TOLERATED_SLOWDOWN: f64 = 0.5;
+/// Occupancy by which an endpoint of another zone must be better: crossing zones costs time and money.
+const CROSS_ZONE_MARGIN: f64 = 1.0;
+/// Recent answers are required from the first to the second of these after discovery failed: mostly it
+/// recovers within the first, and after the second without a refusal the old list is used as it is.
+pub(super) const STALE_LIST_AFTER: Duration = Duration::from_secs(2);
+const STALE_LIST_UNTIL: Duration = Duration::from_secs(15);
+/// Weight of one observation in the share of warm endpoints; some are examined for each choice.
+const WARM_SHARE_WEIGHT: f64 = 0.05;
+/// Pauses are ignored while at most this share of endpoints is warm and not paused.
+const MIN_WARM_SHARE_FOR_PAUSES: f64 = 0.5;
+/// If the floors of one call of all balancers add up to more calls than this at each endpoint, they are too
+/// many.
+const MAX_FLOOR_CALLS: f64 = 8.0;
 
 impl Balancer {
-    /// Own calls in flight leave room for one more of such value: while worthier ones are refused, a part is
-    /// theirs alone. What got as far as an inner tier holds a slot there, and is not held up.
-    fn has_room(&self, now: Duration, value: f64, side: usize) -> bool {
-        let part = (value / self.missed.read(now, MISSED_SECONDS).max(1e-9)).sqrt().min(1.0);
-        let ([own, far], out) = (self.windows, self.windows[0].out + self.windows[1].out);
-        // At its floor of one call: two such windows of each of many balancers would still be a jam.
-        let spared = self.windows[side].size > 1.0 || out == 0 || FLOOR_CALLS * self.part() >= 1.0;
-        // What may cross may stay at home as well: else a crossing would only move load, at a price.
+    /// Whether own calls in flight leave capacity for one more of this value. While more valuable requests
+    /// are refused, a part is reserved for them. A request that reached an inner tier occupies a slot there
+    /// already and is not held up.
+    fn has_capacity(&self, now: Duration, value: f64, zone_group: usize) -> bool {
+        let fraction =
+            (value / self.refused_value.value_at(now, REFUSED_DECAY_SECONDS).max(1e-9)).sqrt().min(1.0);
+        let ([own, far], in_flight) = (self.windows, self.windows[0].in_flight + self.windows[1].in_flight);
+        // At its floor of one call: two such windows of each of many balancers would still be an overload.
+        let above_floor = self.windows[zone_group].size > 1.0
+            || in_flight == 0
+            || MAX_FLOOR_CALLS * self.single_call_share() >= 1.0;
+        // What may cross may stay in the own zone too: otherwise a crossing would only move load, at a
+        // price.
         let lent = if self.pools[3].is_empty() { 0.0 } else { far.size };
-        // Where the own zone is closed, what was for home may cross: else others would get twice as much.
+        // If the own zone is closed, its window may cross: otherwise other balancers would get twice as
+        // much.
         let away = if self.zones.is_open(self.settings.zone) { 0.0 } else { own.size };
-        let (used, size) = if side > 0 { (far.out, far.size + away) } else { (out, own.size + lent) };
-        let fits = f64::from(used) < size * self.share * part;
-        self.settings.tier > 0 || (fits && spared)
+        let (used, size) =
+            if zone_group > 0 { (far.in_flight, far.size + away) } else { (in_flight, own.size + lent) };
+        let fits = f64::from(used) < size * self.share * fraction;
+        self.settings.tier > 0 || (fits && above_floor)
     }
 
-    /// Some zone with endpoints has room for the worthiest.
-    pub(super) fn any_room(&self, now: Duration) -> bool {
-        !self.list_lapsed(now)
-            && (0..2).any(|side| !self.pools[2 + side].is_empty() && self.has_room(now, f64::MAX, side))
+    /// Whether a zone group with endpoints has capacity for a request of the highest value.
+    pub(super) fn any_capacity(&self, now: Duration) -> bool {
+        !self.list_expired(now)
+            && (0..2).any(|zone_group| {
+                !self.pools[2 + zone_group].is_empty() && self.has_capacity(now, f64::MAX, zone_group)
+            })
     }
 
-    pub(super) fn ready(&self) -> f64 {
+    pub(super) fn ready_count(&self) -> f64 {
         (self.pools[2].len() + self.pools[3].len()) as f64
     }
 
-    /// This balancer's part of one call at each endpoint.
-    pub(super) fn part(&self) -> f64 {
-        self.ready() / f64::from(self.settings.balancers.max(1))
+    /// This balancer's share of one call at each endpoint.
+    pub(super) fn single_call_share(&self) -> f64 {
+        self.ready_count() / f64::from(self.settings.balancers.max(1))
     }
 
     /// 0 for an endpoint of the own zone, 1 for one of another.
-    pub(super) fn side(&self, i: usize) -> usize {
+    pub(super) fn zone_group(&self, i: usize) -> usize {
         usize::from(self.endpoints[i].info.zone != self.settings.zone)
     }
 
-    /// The eligible set, then d samples, then the least occupied, ties at random.
-    pub(super) fn pick(&mut self, now: Duration, id: RequestId) -> Option<usize> {
-        if self.list_lapsed(now) {
+    /// Chooses an endpoint: the eligible set, then d samples, then the least occupied, ties at random.
+    pub(super) fn choose_endpoint(&mut self, now: Duration, id: RequestId) -> Option<usize> {
+        if self.list_expired(now) {
             return None;
         }
-        self.common_heat = self.shared_heat(now);
-        let old = self.list_old.is_some_and(|at| (at + BLIND_AFTER..at + BLIND_MOST).contains(&now));
-        // Of this balancer's part, or of all where too few of it can take the call.
-        for (pool, blind) in [(0, old), (2, old), (2, false)].into_iter().take(if old { 3 } else { 2 }) {
-            self.blind = blind;
+        self.common_penalty = self.sample_common_penalty(now);
+        let stale = self
+            .list_stale_since
+            .is_some_and(|at| (at + STALE_LIST_AFTER..at + STALE_LIST_UNTIL).contains(&now));
+        // From this balancer's subset, or from all endpoints if too few of the subset can take the call.
+        for (pool, recent_answer_required) in
+            [(0, stale), (2, stale), (2, false)].into_iter().take(if stale { 3 } else { 2 })
+        {
+            self.recent_answer_required = recent_answer_required;
             let near = self.sample(now, id, pool);
-            // All of it goes before a crossing, but at the front, where a call of each caller would fill it.
+            // All of the own zone is tried before a crossing, except at the first tier: one call per caller
+            // would fill it.
             let all = near.0.is_none() && self.settings.tier > 0;
             let near = if all { self.sample(now, id, 2) } else { near };
             let far = self.sample(now, id, pool + 1);
-            if pool == 0 && near.1 + far.1 < CHOICES {
+            if pool == 0 && near.1 + far.1 < SAMPLE_SIZE {
                 continue;
             }
-            // Own zone first: another one's best sample must be better by a clear margin.
+            // Own zone first: another zone's best sample must be better by a clear margin.
             match (near.0, far.0) {
-                (Some((_, a)), Some((j, b))) if b + CROSS_MARGIN < a => return Some(j),
+                (Some((_, a)), Some((j, b))) if b + CROSS_ZONE_MARGIN < a => return Some(j),
                 (Some((i, _)), _) | (None, Some((i, _))) => return Some(i),
                 (None, None) => {}
             }
@@ -85,71 +101,83 @@
         None
     }
 
-    /// Balancers of a zone: drag, which all of them cause, counts so often beside own calls.
-    pub(super) fn callers(&self) -> f64 {
+    /// Balancers per zone. Slowdown, which all of them cause, counts this many times compared with own
+    /// calls.
+    pub(super) fn callers_per_zone(&self) -> f64 {
         (f64::from(self.settings.balancers) / f64::from(self.settings.zones.max(1))).max(1.0)
     }
 
-    /// Draws d eligible endpoints of a pool: the least occupied, of equals the first; and how many.
+    /// Draws up to d eligible endpoints of a pool. Returns the least occupied, of equals the first, and
+    /// their number.
     fn sample(&mut self, now: Duration, id: RequestId, pool: usize) -> (Option<(usize, f64)>, usize) {
         let (mut best, mut found): (Option<(usize, f64)>, usize) = (None, 0);
-        let room = self.has_room(now, self.value(id), pool % 2);
-        let size = if room { self.pools[pool].len() } else { 0 };
-        for k in 0..size.min(DRAWS) {
-            let drawn = k + self.draws.below(size - k);
+        let has_capacity = self.has_capacity(now, self.value(id), pool % 2);
+        let size = if has_capacity { self.pools[pool].len() } else { 0 };
+        for k in 0..size.min(MAX_EXAMINED) {
+            let drawn = k + self.rng.below(size - k);
             self.pools[pool].swap(k, drawn);
             let i = self.pools[pool][k];
-            let pending = self.requests.get(&id).filter(|p| self.allowed(now, i, p));
+            let pending = self.requests.get(&id).filter(|p| self.is_eligible(now, i, p));
             let Some(occupancy) = pending.map(|p| self.occupancy(now, i, p)) else { continue };
             found += 1;
             if best.is_none_or(|(_, least)| occupancy < least) {
                 best = Some((i, occupancy));
             }
-            if found == CHOICES {
+            if found == SAMPLE_SIZE {
                 break;
             }
         }
         (best, found)
     }
 
-    /// The heat of the best quarter, of all endpoints or of every so many; and notes how many are warm.
-    fn shared_heat(&mut self, now: Duration) -> f64 {
-        let step = self.endpoints.len().div_ceil(DRAWS).max(1);
-        let skipped = self.draws.below(step);
-        let looked = (skipped..self.endpoints.len()).step_by(step);
-        let ready: Vec<usize> = looked.filter(|&i| self.endpoints[i].is_ready()).collect();
-        let fit = |&&i: &&usize| self.warmth(now, i) >= 1.0 && now >= self.endpoints[i].rests_until;
-        let warm = ready.iter().filter(fit).count();
-        self.warm += WARM_WEIGHT * (warm as f64 / ready.len().max(1) as f64 - self.warm);
-        let mut heats: Vec<f64> = ready.iter().map(|&i| self.endpoints[i].heat(now)).collect();
-        heats.sort_by(f64::total_cmp);
-        heats.get(heats.len() / 4).copied().unwrap_or(0.0)
+    /// The penalty at the lower quartile of all endpoints, or of every nth of them. Also updates the warm
+    /// share.
+    fn sample_common_penalty(&mut self, now: Duration) -> f64 {
+        let step = self.endpoints.len().div_ceil(MAX_EXAMINED).max(1);
+        let skipped = self.rng.below(step);
+        let examined = (skipped..self.endpoints.len()).step_by(step);
+        let ready: Vec<usize> = examined.filter(|&i| self.endpoints[i].is_ready()).collect();
+        let usable =
+            |&&i: &&usize| self.warm_fraction(now, i) >= 1.0 && now >= self.endpoints[i].paused_until;
+        let warm = ready.iter().filter(usable).count();
+        self.warm_share += WARM_SHARE_WEIGHT * (warm as f64 / ready.len().max(1) as f64 - self.warm_share);
+        let mut penalties: Vec<f64> =
+            ready.iter().map(|&i| self.endpoints[i].failure_penalty(now)).collect();
+        penalties.sort_by(f64::total_cmp);
+        penalties.get(penalties.len() / 4).copied().unwrap_or(0.0)
     }
 
-    /// Own calls in flight and what failures beyond the common measure count for.
+    /// Own calls in flight plus the penalty for failures beyond the common level.
     fn load(&self, now: Duration, i: usize) -> f64 {
         let endpoint = &self.endpoints[i];
-        f64::from(endpoint.in_flight) + (endpoint.heat(now) - self.common_heat).max(0.0)
+        f64::from(endpoint.in_flight) + (endpoint.failure_penalty(now) - self.common_penalty).max(0.0)
     }
 
-    /// Own calls in flight plus what failures, slow answers and an earlier attempt there count for.
+    /// The load plus what slow answers and an earlier attempt at this endpoint count for.
     fn occupancy(&self, now: Duration, i: usize, pending: &Pending) -> f64 {
         let endpoint = &self.endpoints[i];
-        let drag = (endpoint.drag.read(now, DRAG_SECONDS) - DRAG_FREE).max(0.0);
+        let slowdown =
+            (endpoint.slowdown.value_at(now, SLOWDOWN_DECAY_SECONDS) - TOLERATED_SLOWDOWN).max(0.0);
         let tried = pending.attempts.iter().any(|a| a.endpoint == endpoint.info.id);
-        self.load(now, i) + drag * self.callers() + if tried { HEAT_MOST } else { 0.0 }
+        self.load(now, i)
+            + slowdown * self.callers_per_zone()
+            + if tried { MAX_FAILURE_PENALTY } else { 0.0 }
     }
 
-    /// Hard limits: the list, the cold budget, and rule 2 for a keyed request that may have run.
-    fn allowed(&self, now: Duration, i: usize, pending: &Pending) -> bool {
+    /// Hard limits: the list, the cold budget, zones, pauses, and rule 2 for a keyed request that may have
+    /// run.
+    fn is_eligible(&self, now: Duration, i: usize, pending: &Pending) -> bool {
         let endpoint = &self.endpoints[i];
-        let overspent = self.warmth(now, i) < 1.0 && self.cold_tokens(now, i) < 1.0;
-        // So lately that it can't have begun to drain for longer than drains stay untold.
-        let unknown = self.blind && endpoint.heard.is_none_or(|at| now > at + DRAIN_UNTOLD);
-        let closed = !self.zones.may(now, endpoint.info.zone, pending.arrived);
-        let barred =
-            closed || overspent || unknown || (now < endpoint.rests_until && self.warm > REST_MOST);
-        if barred || !endpoint.is_ready() || self.load(now, i) + 1.0 > self.room(now, i) {
+        let overspent = self.warm_fraction(now, i) < 1.0 && self.cold_tokens(now, i) < 1.0;
+        // Without a recent answer it may have been draining for longer than a notice may take.
+        let may_be_draining = self.recent_answer_required
+            && endpoint.last_answer_at.is_none_or(|at| now > at + RECENT_ANSWER);
+        let closed = !self.zones.admits(now, endpoint.info.zone, pending.arrived);
+        let excluded = closed
+            || overspent
+            || may_be_draining
+            || (now < endpoint.paused_until && self.warm_share > MIN_WARM_SHARE_FOR_PAUSES);
+        if excluded || !endpoint.is_ready() || self.load(now, i) + 1.0 > self.capacity(now, i) {
             return false;
         }
         let (semantics, info) = (self.settings.classes[pending.class].semantics, &endpoint.info);
@@ -159,7 +187,7 @@
     }
 
     /// Own calls that an endpoint may hold now.
-    pub(super) fn room(&self, now: Duration, i: usize) -> f64 {
-        (self.endpoints[i].limit * self.share * self.warmth(now, i)).max(1.0)
+    pub(super) fn capacity(&self, now: Duration, i: usize) -> f64 {
+        (self.endpoints[i].limit * self.share * self.warm_fraction(now, i)).max(1.0)
     }
 }
--- a/crates/balance/src/balance/share/tests.rs
+++ b/crates/balance/src/balance/share/tests.rs
@@ -1,10 +1,10 @@
-//! Two that share against one alone.
+//! Compares two balancers that share limits with a single one.
 
 use super::*;
 use crate::types::*;
 use proptest::prelude::*;
 
-/// Three of four endpoints warm, the last one cold.
+/// A balancer with three warm endpoints and a cold one.
 fn balancer(seed: u64, now: Duration) -> Balancer {
     let mut balancer = Balancer::new(Settings::default(), seed, now).unwrap();
     let mut list: Vec<EndpointInfo> = (0..4).map(EndpointInfo::ready).collect();
@@ -13,7 +13,7 @@
     balancer
 }
 
-/// How many of so many requests are sent at once.
+/// Sends `requests` requests; returns the endpoints of those that are sent at once.
 fn sent(balancer: &mut Balancer, now: Duration, first: u64, requests: u64) -> Vec<EndpointId> {
     let mut out = Vec::new();
     for id in first..first + requests {
@@ -26,23 +26,23 @@
     out.iter().filter_map(to).collect()
 }
 
-/// One that has learnt windows of these sizes, and a successor of it that holds so much.
+/// A balancer with windows of these sizes, and a successor that holds the share `given`.
 fn pair(windows: [f64; 2], given: f64, now: Duration) -> (Balancer, Balancer) {
     let (mut old, mut new) = (balancer(3, now), balancer(4, now));
     for (window, size) in old.windows.iter_mut().zip(windows) {
-        (window.size, window.opening) = (size, false);
+        (window.size, window.ramping_up) = (size, false);
     }
     old.endpoints.iter_mut().for_each(|endpoint| endpoint.limit = 50.0);
     new.begin_without_share(now);
-    let portion = old.release_share(now, 1.0 - given);
-    new.acquire_share(now, given, Some(&portion), &mut Vec::new());
+    let transfer = old.release_share(now, 1.0 - given);
+    new.acquire_share(now, given, Some(&transfer), &mut Vec::new());
     assert!(new.restore(now, &old.snapshot(now)));
     (old, new)
 }
 
 proptest! {
     #[test]
-    fn two_send_what_one_would(size in 1.0..60.0f64, given in 1..64u32) {
+    fn two_balancers_send_as_many_requests_as_one(size in 1.0..60.0f64, given in 1..64u32) {
         let now = Duration::from_secs(100);
         let given = f64::from(given) / 64.0;
         let (mut old, mut new) = pair([size, 1.0], given, now);
@@ -51,23 +51,23 @@
         one.endpoints.iter_mut().for_each(|endpoint| endpoint.limit = 50.0);
         let alone = sent(&mut one, now, 0, 100).len();
         let both = sent(&mut old, now, 0, 100).len() + sent(&mut new, now, 0, 100).len();
-        // A call can't be parted: each may round its share up.
+        // A call can't be divided: each may round its share up.
         prop_assert!((alone..=alone + 1).contains(&both), "{both} sent by two, {alone} by one");
     }
 
     #[test]
-    fn parts_that_move_change_nothing_of_what_both_may_use(
+    fn moving_shares_keeps_the_totals_of_windows_and_retries(
         moves in prop::collection::vec((any::<bool>(), 1..8u32), 1..40),
         windows in [1.0..40.0f64, 1.0..40.0],
     ) {
         let now = Duration::from_secs(100);
         let (mut old, mut new) = pair(windows, 0.5, now);
-        new.windows[0].size = 17.0; // it has learnt something else since
-        new.windows[1].opening = true;
-        let total = |a: &Balancer, b: &Balancer, side: usize| {
-            a.share * a.windows[side].size + b.share * b.windows[side].size
+        new.windows[0].size = 17.0; // it has learned something else since
+        new.windows[1].ramping_up = true;
+        let total = |a: &Balancer, b: &Balancer, zone_group: usize| {
+            a.share * a.windows[zone_group].size + b.share * b.windows[zone_group].size
         };
-        let before = [0, 1].map(|side| total(&old, &new, side));
+        let before = [0, 1].map(|zone_group| total(&old, &new, zone_group));
         let retries = old.retry_tokens + new.retry_tokens;
         for (forth, parts) in moves {
             let (from, to) = if forth { (&mut old, &mut new) } else { (&mut new, &mut old) };
@@ -76,12 +76,12 @@
                 continue;
             }
             let (kept, got) = (from.share() - share, to.share());
-            let portion = from.release_share(now, share);
-            prop_assert!(portion.is_valid());
-            to.acquire_share(now, got + kept, Some(&portion), &mut Vec::new());
+            let transfer = from.release_share(now, share);
+            prop_assert!(transfer.is_valid());
+            to.acquire_share(now, got + kept, Some(&transfer), &mut Vec::new());
         }
-        for (side, before) in before.into_iter().enumerate() {
-            let after = total(&old, &new, side);
+        for (zone_group, before) in before.into_iter().enumerate() {
+            let after = total(&old, &new, zone_group);
             prop_assert!((after - before).abs() < 1e-6, "{before} before and {after} after");
         }
         prop_assert!(old.retry_tokens + new.retry_tokens <= retries + 1e-6);
@@ -89,14 +89,14 @@
 }
 
 #[test]
-fn a_cold_endpoint_gets_from_two_what_it_would_from_one() {
+fn two_balancers_send_a_cold_endpoint_no_more_than_one() {
     let start = Duration::from_secs(100);
     let cold = EndpointId(3);
     let play = |balancers: &mut [Balancer]| {
         let mut count = 0;
         for step in 0..200u64 {
             let now = start + Duration::from_millis(step * 10);
-            // Where there are two, requests come to them in turn.
+            // With two balancers, requests go to them in turn.
             let turn = step as usize % balancers.len();
             let balancer = &mut balancers[turn];
             for to in sent(balancer, now, step * 10, 1) {
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn when_the_other_has_gone_held_requests_go_out_at_once() {
+fn queued_requests_are_sent_once_the_whole_share_is_acquired() {
     let now = Duration::from_secs(100);
     let (_old, mut new) = pair([8.0, 1.0], 0.125, now);
     assert_eq!(sent(&mut new, now, 0, 8).len(), 1);
--- a/crates/balance/src/stats.rs
+++ b/crates/balance/src/stats.rs
@@ -1,30 +1,31 @@
-//! Small tools that decide nothing: a value that fades, what a class's answers take, seeded draws.
+//! Statistics and random numbers: decaying values, latency statistics of a class, and a seeded generator.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The first latencies of a class, averaged evenly: before so many its mean is not yet judged by.
-pub(crate) const LATENCY_FIRST: u32 = 20;
-/// Weight of one latency in the running mean.
+/// This many first latencies of a class are averaged with equal weights; its mean is not used before.
+pub(crate) const MIN_LATENCY_SAMPLES: u32 = 20;
+/// Weight of one further latency in the running mean.
 const LATENCY_WEIGHT: f64 = 0.05;
-/// Answers after which the unhurried mean only falls with the mean: where each of many balancers has few calls,
-/// a jam can form before twenty answers have come, and would pass for normal.
-pub(crate) const UNHURRIED_FIRST: u32 = 5;
-/// Seconds in which the least mean rises by two thirds of the way to the mean: by time and slowly, or a jam
-/// would pass for normal, the sooner the more calls a balancer has.
-const UNHURRIED_SECONDS: f64 = 60.0;
-
-/// A value, as of `at`, that falls to a third in a stated number of seconds.
+/// The baseline follows the mean for this many answers; after that it follows only a falling mean. It is less than
+/// twenty because, where each of many balancers has few calls, an overload can form before twenty answers have
+/// come, and would be taken for normal.
+pub(crate) const BASELINE_SAMPLES: u32 = 5;
+/// Seconds in which the baseline rises by two thirds of the way to the mean. The rise depends on time and is slow:
+/// otherwise an overload would be taken for normal, the sooner the more calls a balancer has.
+const BASELINE_RISE_SECONDS: f64 = 60.0;
+
+/// A value as of `at` that decays exponentially: to about a third (1/e) in each time constant, in seconds.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub(crate) struct Fading {
+pub(crate) struct DecayingValue {
     pub(crate) value: f64,
     at: Duration,
 }
 
-/// A time on a clock that is ahead by so many microseconds. Zero stands for never, and stays.
-pub(crate) fn moved(at: Duration, micros: i64) -> Duration {
+/// Converts a time to a clock that is ahead by `micros`. Zero means never and stays zero.
+pub(crate) fn shifted(at: Duration, micros: i64) -> Duration {
     if at.is_zero() {
         return at;
     }
@@ -33,102 +34,105 @@
 }
 
 /// What is left of a value after so many seconds, if it falls to a third in `third`.
-fn fade(seconds: f64, third: f64) -> f64 {
-    (-seconds / third).exp()
+fn decay(seconds: f64, time_constant: f64) -> f64 {
+    (-seconds / time_constant).exp()
 }
 
-impl Fading {
-    pub(crate) fn read(&self, now: Duration, third: f64) -> f64 {
+impl DecayingValue {
+    pub(crate) fn value_at(&self, now: Duration, time_constant: f64) -> f64 {
         if self.value == 0.0 {
             return 0.0;
         }
-        self.value * fade(now.saturating_sub(self.at).as_secs_f64(), third)
+        self.value * decay(now.saturating_sub(self.at).as_secs_f64(), time_constant)
     }
 
     pub(crate) fn set(&mut self, now: Duration, value: f64) {
         (self.value, self.at) = (value, now);
     }
 
-    /// As of when its value holds.
+    /// The time at which the stored value applies.
     pub(crate) fn at(&self) -> Duration {
         self.at
     }
 
-    /// The same on a clock that is ahead by so many microseconds.
-    pub(crate) fn moved(self, micros: i64) -> Self {
-        Fading { at: moved(self.at, micros), ..self }
+    /// Converts it to a clock that is ahead by `micros`.
+    pub(crate) fn shifted(self, micros: i64) -> Self {
+        DecayingValue { at: shifted(self.at, micros), ..self }
     }
 
-    /// The same, with no time ahead of now: the clock may have stepped back between two processes.
-    pub(crate) fn not_ahead(self, now: Duration) -> Self {
-        Fading { at: self.at.min(now), ..self }
+    /// Limits its time to now, because the clock may have stepped back between two processes.
+    pub(crate) fn clamped_to(self, now: Duration) -> Self {
+        DecayingValue { at: self.at.min(now), ..self }
     }
 
-    /// Counts one more: what is read with the same `seconds` is then the rate a second.
+    /// Counts one event. Its value with the same time constant `seconds` is then the rate per second.
     pub(crate) fn count(&mut self, now: Duration, seconds: f64) {
-        self.set(now, self.read(now, seconds) + 1.0 / seconds);
+        self.set(now, self.value_at(now, seconds) + 1.0 / seconds);
     }
 
-    /// The rate a second, put right for the counting not having gone on for long yet.
+    /// The rate per second, corrected for a count that began recently.
     pub(crate) fn rate(&self, now: Duration, seconds: f64, began: Duration) -> f64 {
         let age = now.saturating_sub(began).as_secs_f64().max(0.5);
-        self.read(now, seconds) / (1.0 - fade(age, seconds))
+        self.value_at(now, seconds) / (1.0 - decay(age, seconds))
     }
 }
 
-/// Running mean of a class's latencies, in seconds, and the least that it has been of late.
+/// Running mean of a class's latencies in seconds, and a baseline: the lowest recent mean.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub(crate) struct Latency {
+pub(crate) struct LatencyStats {
     pub(crate) mean: f64,
-    /// Mean distance from the mean.
+    /// Mean absolute deviation from the mean.
     pub(crate) spread: f64,
-    pub(crate) unhurried: f64,
-    pub(crate) seen: u32,
+    /// The lowest recent mean.
+    #[serde(rename = "unhurried")]
+    pub(crate) baseline: f64,
+    #[serde(rename = "seen")]
+    pub(crate) count: u32,
     at: Duration,
 }
 
-impl Latency {
-    /// The same on a clock that is ahead by so many microseconds.
-    pub(crate) fn moved(self, micros: i64) -> Self {
-        Latency { at: moved(self.at, micros), ..self }
+impl LatencyStats {
+    /// Converts it to a clock that is ahead by `micros`.
+    pub(crate) fn shifted(self, micros: i64) -> Self {
+        LatencyStats { at: shifted(self.at, micros), ..self }
     }
 
-    /// The mean and so many times the mean distance from it, which is never taken for less than a quarter of
-    /// the mean: where all answers take alike, the next one may still be a little later.
+    /// The mean plus `spreads` mean deviations. A deviation counts as at least a quarter of the mean: even where all
+    /// latencies are alike, the next may be a little longer.
     pub(crate) fn overdue(&self, spreads: f64) -> Duration {
         Duration::from_secs_f64(self.mean + spreads * self.spread.max(self.mean / 4.0))
     }
 
-    /// The same, with a mean that is at most this multiple of the unhurried one: more is a jam's.
-    pub(crate) fn unjammed(self, now: Duration, multiple: f64) -> Self {
-        let mean = self.mean.min(self.unhurried * multiple);
-        Latency { mean, spread: self.spread.min(mean), at: self.at.min(now), ..self }
+    /// Limits the mean to this multiple of the baseline; more is due to an overload.
+    pub(crate) fn without_overload(self, now: Duration, multiple: f64) -> Self {
+        let mean = self.mean.min(self.baseline * multiple);
+        LatencyStats { mean, spread: self.spread.min(mean), at: self.at.min(now), ..self }
     }
 
     pub(crate) fn add(&mut self, now: Duration, seconds: f64) {
-        let kept = fade(now.saturating_sub(self.at).as_secs_f64(), UNHURRIED_SECONDS);
+        let retained = decay(now.saturating_sub(self.at).as_secs_f64(), BASELINE_RISE_SECONDS);
         self.at = now;
         let weight =
-            if self.seen < LATENCY_FIRST { 1.0 / f64::from(self.seen + 1) } else { LATENCY_WEIGHT };
-        self.seen = self.seen.saturating_add(1);
+            if self.count < MIN_LATENCY_SAMPLES { 1.0 / f64::from(self.count + 1) } else { LATENCY_WEIGHT };
+        self.count = self.count.saturating_add(1);
         self.spread += weight * ((seconds - self.mean).abs() - self.spread);
         self.mean += weight * (seconds - self.mean);
-        self.unhurried = self.mean + kept * (self.unhurried - self.mean);
-        if self.seen <= UNHURRIED_FIRST || self.mean < self.unhurried {
-            self.unhurried = self.mean;
+        self.baseline = self.mean + retained * (self.baseline - self.mean);
+        if self.count <= BASELINE_SAMPLES || self.mean < self.baseline {
+            self.baseline = self.mean;
         }
     }
 }
 
-/// Random numbers from a balancer's own seed.
-pub(crate) struct Draws(Pcg32);
+/// A random number generator with a balancer's own seed.
+pub(crate) struct SeededRng(Pcg32);
 
-impl Draws {
+impl SeededRng {
     pub(crate) fn new(seed: u64) -> Self {
-        Draws(Pcg32::seed_from_u64(seed))
+        SeededRng(Pcg32::seed_from_u64(seed))
     }
 
-    /// An even draw from `0.0..1.0`.
+    /// A uniform draw from `0.0..1.0`.
     pub(crate) fn uniform(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / 4_294_967_296.0
     }
@@ -151,19 +155,19 @@
     use super::*;
 
     #[test]
-    fn a_steady_count_reads_as_its_rate() {
-        let mut count = Fading::default();
+    fn counting_at_a_steady_rate_yields_that_rate() {
+        let mut count = DecayingValue::default();
         for n in 0..4000 {
             count.count(Duration::from_millis(n * 10), 5.0);
         }
-        let rate = count.read(Duration::from_secs(40), 5.0);
+        let rate = count.value_at(Duration::from_secs(40), 5.0);
         assert!((95.0..105.0).contains(&rate), "{rate} a second, not a hundred");
-        assert!(count.read(Duration::from_secs(45), 5.0) < rate / 2.5, "it fades");
+        assert!(count.value_at(Duration::from_secs(45), 5.0) < rate / 2.5, "it decays");
     }
 
     #[test]
-    fn draws_are_even_and_repeat_with_the_seed() {
-        let (mut a, mut b, mut counts) = (Draws::new(3), Draws::new(3), [0; 7]);
+    fn draws_are_uniform_and_repeatable_with_the_seed() {
+        let (mut a, mut b, mut counts) = (SeededRng::new(3), SeededRng::new(3), [0; 7]);
         for _ in 0..7000 {
             let draw = a.below(7);
             assert_eq!(draw, b.below(7));
