--- a/crates/keys/src/clock.rs
+++ b/crates/keys/src/clock.rs
@@ -9,9 +9,9 @@
 use zerocopy::little_endian::{U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
-/// Two processes are not compared if the machine was suspended between their starts for more than this: the monotonic
-/// clock of a process stands still during a suspension. Its two clocks are read one after the other, so that some
-/// tolerance is needed.
+/// The clocks of two processes are not compared if the machine was suspended between their starts for
+/// longer than this: the monotonic clock of a process stands still during a suspension. The two clocks of a
+/// process are read one after the other, so some tolerance is needed.
 const MAX_SUSPENDED_DIFFERENCE_MS: u32 = 100;
 
 /// One moment at the start of a process, on its own clock and on that of the boot.
@@ -47,9 +47,9 @@
         ClockAnchor { boot_id_hash: xxh3_64(boot_id), unix, since_boot, suspended_ms }
     }
 
-    /// What has to be added to a time of another process, in microseconds, to get the same moment on the clock of this
-    /// process. None if the two can't be compared, because they belong to different boots or the machine was suspended in
-    /// between.
+    /// What has to be added to a time of another process, in microseconds, to get the same moment on the
+    /// clock of this process. None if the two can't be compared, because they belong to different boots or
+    /// the machine was suspended in between.
     pub fn correction_micros(&self, other: &ClockAnchor) -> Option<i64> {
         let forward = self.suspended_ms.wrapping_sub(other.suspended_ms);
         let difference = forward.min(forward.wrapping_neg());
@@ -74,7 +74,7 @@
         .to_vec()
     }
 
-    /// Decodes an anchor; none if the bytes are not those of one.
+    /// Decodes an anchor; none if the bytes do not encode one.
     pub fn from_bytes(bytes: &[u8]) -> Option<ClockAnchor> {
         let fields = AnchorBytes::ref_from_bytes(bytes).ok()?;
         (fields.magic.get() == ANCHOR_MAGIC).then(|| ClockAnchor {
--- a/crates/keys/src/journal.rs
+++ b/crates/keys/src/journal.rs
@@ -1,7 +1,8 @@
-//! Journal files: the one that this process writes, and those that other processes of the same sidecar have left.
+//! Journal files: the one that this process writes, and those of other processes of the same sidecar.
 //!
-//! The memory of the process is the truth, and the file follows it. A write that fails (`ENOSPC`, `EIO`) leaves its slot
-//! dirty, and the slot's newest value is written later; a request never waits for that.
+//! The table in memory is authoritative, and the file may lag behind it. A write that fails (`ENOSPC`,
+//! `EIO`) leaves its slot dirty, and the slot's newest value is written later; a request never waits for
+//! that.
 
 use crate::clock::{ClockAnchor, shift};
 use crate::memory::{Entry, SlotWrite};
@@ -17,8 +18,8 @@
 use std::time::{Duration, SystemTime};
 use thiserror::Error;
 
-/// How often failed writes are retried. A client repeats a request that its sidecar lost within seconds; dirty slots have
-/// to be in the file by then.
+/// How often failed writes are retried. A client repeats a request that its sidecar lost within seconds;
+/// dirty slots have to be in the file by then.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 /// How many dirty slots are written along with a new one, while a request waits: a page of 4 KiB.
 const MAX_DIRTY_SLOTS_PER_WRITE: usize = 4096 / SLOT_BYTES;
@@ -30,16 +31,17 @@
 pub struct Journal {
     file: File,
     path: PathBuf,
-    /// The number of slots before those of keys: 1 if the file starts with the process's [`ClockAnchor`], else 0.
+    /// The number of slots before the first slot of a key: 1 if the file starts with the process's
+    /// [`ClockAnchor`], else 0.
     first_slot: usize,
 }
 
-/// Where the journals of one sidecar are stored, and the numbering of zones that they use.
+/// The folder and file name prefix of one sidecar's journals, and the zone numbering that they use.
 #[derive(Clone, Debug)]
 pub struct JournalFolder {
     /// The folder.
     pub folder: PathBuf,
-    /// The name of the sidecar, a part of the files' names.
+    /// The name of the sidecar, which is part of the files' names.
     pub sidecar: String,
     /// See [`crate::zones_hash`].
     pub zones_hash: u64,
@@ -50,9 +52,9 @@
 pub struct RetryingJournal {
     location: JournalFolder,
     anchor: Option<ClockAnchor>,
-    /// The start of the process in Unix time, a part of the file's name.
+    /// The start of the process in Unix time, which is part of the file's name.
     started: Duration,
-    /// The file; none as long as it could not be created.
+    /// The file; none until it has been created.
     journal: Option<Journal>,
     /// The earliest time of the next attempt to create the file, which takes several system calls.
     next_create_at: Duration,
@@ -72,8 +74,8 @@
 }
 
 impl Journal {
-    /// Creates a new file in this folder for the sidecar of this name. Each process has a file of its own, named by its
-    /// start time, as process ids are reused.
+    /// Creates a new file in this folder for the sidecar of this name. Each process has a file of its own,
+    /// which is named after the start time of the process, as process ids are reused.
     ///
     /// # Errors
     /// Returns why the file can't be created.
@@ -91,8 +93,9 @@
         zones_hash: u64,
         anchor: Option<&ClockAnchor>,
     ) -> io::Result<Journal> {
-        // The kernel releases the lock as the process ends, so other processes see that it is alive whatever the file's
-        // modification time is. Where the file system has no locks they go by the modification time.
+        // The kernel releases the lock when the process ends, so other processes detect that it is alive
+        // whatever the file's modification time is. Where the file system has no locks, they use the
+        // modification time.
         if let Err(TryLockError::WouldBlock) = file.try_lock() {
             return Err(io::ErrorKind::AlreadyExists.into());
         }
@@ -101,7 +104,7 @@
         match file.write_all_at(&bytes, 0) {
             Ok(()) => Ok(Journal { file, path, first_slot: usize::from(anchor.is_some()) }),
             Err(error) => {
-                let _ = std::fs::remove_file(&path); // if it stays, the next attempt uses it
+                let _ = std::fs::remove_file(&path); // if this fails, the next attempt reuses the file
                 Err(error)
             }
         }
@@ -112,11 +115,11 @@
         &self.path
     }
 
-    /// Writes one slot. It then survives a crash of the process, but not of the machine: the file is not synced, because
-    /// a machine that crashes loses its connections to clients as well.
+    /// Writes one slot. It then survives a crash of the process, but not of the machine: the file is not
+    /// synced, because a machine that crashes loses its connections to clients as well.
     ///
     /// # Errors
-    /// Returns why the slot could not be written, or only a part of it.
+    /// Returns why the slot could not be written in full.
     pub fn write(&self, write: &SlotWrite) -> io::Result<()> {
         self.write_slots(write.slot, &encode(write.entry.as_ref()))
     }
@@ -129,7 +132,8 @@
 }
 
 impl RetryingJournal {
-    /// Creates the journal of this process. If that fails, the error is returned beside a journal that retries.
+    /// Opens the journal of this process. If the file can't be created, the error is returned together with
+    /// a journal that retries.
     pub fn open(
         location: JournalFolder,
         now: Duration,
@@ -152,7 +156,7 @@
         self.location.path(self.started)
     }
 
-    /// Whether [`RetryingJournal::retry`] has something to do.
+    /// Whether the file has not been created yet, or slots are dirty.
     pub fn needs_retry(&self) -> bool {
         self.journal.is_none() || !self.dirty_slots.is_empty()
     }
@@ -172,13 +176,13 @@
     /// # Errors
     /// Returns why this slot could not be written. It is dirty then and will be retried.
     pub fn write(&mut self, now: Duration, write: &SlotWrite) -> io::Result<()> {
-        // Dirty before the attempt, so that a slot of which only a part is written is retried.
+        // Marked dirty before the attempt, so that a partly written slot is retried.
         self.dirty_slots.insert(write.slot, write.entry);
         self.create(now)?;
         let Some(journal) = &self.journal else { return Ok(()) };
         journal.write(write)?;
         self.dirty_slots.remove(&write.slot);
-        // An error here concerns another slot, which stays dirty.
+        // An error here concerns other slots, which stay dirty.
         let _ = self.write_dirty_slots(MAX_DIRTY_SLOTS_PER_WRITE);
         Ok(())
     }
@@ -186,7 +190,7 @@
     /// Creates the file if it does not exist yet, and writes dirty slots.
     ///
     /// # Errors
-    /// Returns why that still fails.
+    /// Returns why creating the file or writing a slot still fails.
     pub fn retry(&mut self, now: Duration) -> io::Result<()> {
         self.create(now)?;
         self.write_dirty_slots(MAX_DIRTY_SLOTS_PER_RETRY)
@@ -197,11 +201,12 @@
             return Ok(());
         }
         if now < self.next_create_at {
-            return Err(io::Error::other("the file could not be created a moment ago"));
+            return Err(io::Error::other("creating the file failed; not retried yet"));
         }
         self.next_create_at = now + RETRY_INTERVAL;
         let path = self.location.path(self.started);
-        // Uses the file of an earlier failed attempt, if there is one, so that attempts do not leave several.
+        // Reuses the file of an earlier failed attempt, so that repeated attempts do not leave several
+        // files.
         let file = File::options().write(true).create(true).truncate(false).open(&path)?;
         self.journal =
             Some(Journal::initialize(file, path, self.location.zones_hash, self.anchor.as_ref())?);
@@ -211,16 +216,17 @@
     /// Writes up to `limit` dirty slots, consecutive ones with one system call.
     fn write_dirty_slots(&mut self, limit: usize) -> io::Result<()> {
         let Some(journal) = &self.journal else { return Ok(()) };
-        let mut left = limit;
-        while let Some(first) = self.dirty_slots.keys().next().copied().filter(|_| left > 0) {
-            let run = self.dirty_slots.range(first..).take(left).zip(first..);
-            let run = run.take_while(|((slot, _), expected)| *slot == expected);
-            let bytes: Vec<[u8; SLOT_BYTES]> = run.map(|((_, entry), _)| encode(entry.as_ref())).collect();
+        let mut remaining = limit;
+        while let Some(first) = self.dirty_slots.keys().next().copied().filter(|_| remaining > 0) {
+            let slots = self.dirty_slots.range(first..).take(remaining).zip(first..);
+            let consecutive = slots.take_while(|((slot, _), expected)| *slot == expected);
+            let bytes: Vec<[u8; SLOT_BYTES]> =
+                consecutive.map(|((_, entry), _)| encode(entry.as_ref())).collect();
             journal.write_slots(first, bytes.as_flattened())?;
             for slot in (first..).take(bytes.len()) {
                 self.dirty_slots.remove(&slot);
             }
-            left -= bytes.len();
+            remaining -= bytes.len();
         }
         Ok(())
     }
@@ -237,13 +243,13 @@
 }
 
 impl OtherJournals {
-    /// The journals in this folder except `own`.
+    /// The journals of this sidecar in this folder, except `own`.
     pub fn new(folder: &Path, sidecar: &str, own: Option<&Journal>, zones_hash: u64) -> OtherJournals {
         let own = own.map(|journal| journal.path.clone()).unwrap_or_default();
         OtherJournals { folder: folder.to_owned(), prefix: prefix(sidecar), own, zones_hash }
     }
 
-    /// Leaves out the journal at this path from now on, as it is this process's own.
+    /// Excludes the journal at this path from now on, because it is this process's own.
     pub fn set_own(&mut self, own: &Path) {
         self.own = own.to_owned();
     }
@@ -253,8 +259,8 @@
         self.read_with_clock(None)
     }
 
-    /// As [`OtherJournals::read`], with times converted to the clock of this anchor. Where the clock of a file can't be
-    /// compared with it, times stay as they were written.
+    /// As [`OtherJournals::read`], with times converted to the clock of this anchor. Times of a file whose
+    /// clock can't be compared with it stay as they were written.
     pub fn read_with_clock(&self, clock: Option<&ClockAnchor>) -> (Vec<Entry>, Vec<String>) {
         let (mut entries, mut problems) = (Vec::new(), Vec::new());
         for path in self.paths() {
@@ -265,7 +271,7 @@
                     entries.extend(contents.entries.into_iter().map(corrected));
                     if contents.corrupt > 0 {
                         problems.push(format!(
-                            "{}: {} records are corrupt",
+                            "{}: {} slots are corrupt",
                             path.display(),
                             contents.corrupt
                         ));
@@ -283,9 +289,10 @@
         self.remove_expired_with_clock(retention, None)
     }
 
-    /// Removes files of ended processes whose newest entry was sent more than `retention` before `now`, both on the clock
-    /// of the given anchor. A file without entries counts from the start of its process. Where the clocks can't be compared, the file's modification time counts. Returns the number of
-    /// files removed.
+    /// Removes files of ended processes whose newest entry was sent more than `retention` before `now`,
+    /// both on the clock of the given anchor. The age of a file without entries counts from the start of
+    /// its process. Where the clocks can't be compared, the file's modification time counts. Returns the
+    /// number of files removed.
     pub fn remove_expired_with_clock(
         &self,
         retention: Duration,
@@ -301,8 +308,8 @@
         self.paths().into_iter().filter(removable).filter(|path| std::fs::remove_file(path).is_ok()).count()
     }
 
-    /// Whether an ended process sent its newest entry, or started, more than `retention` ago; none if the clocks can't be
-    /// compared.
+    /// Whether an ended process sent its newest entry, or started, more than `retention` ago; none if the
+    /// clocks can't be compared.
     fn is_expired(
         &self,
         path: &Path,
@@ -318,12 +325,12 @@
     }
 
     fn paths(&self) -> Vec<PathBuf> {
-        let listed = std::fs::read_dir(&self.folder).into_iter().flatten().flatten();
+        let files = std::fs::read_dir(&self.folder).into_iter().flatten().flatten();
         let is_journal = |path: &PathBuf| {
             let name = path.file_name().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
             *path != self.own && name.starts_with(&self.prefix) && name.ends_with(".bin")
         };
-        let mut paths: Vec<PathBuf> = listed.map(|entry| entry.path()).filter(is_journal).collect();
+        let mut paths: Vec<PathBuf> = files.map(|entry| entry.path()).filter(is_journal).collect();
         paths.sort();
         paths
     }
@@ -337,7 +344,8 @@
 /// Whether a file was not modified for `retention` by the wall clock.
 fn is_unmodified(path: &Path, retention: Duration) -> bool {
     let modified = path.metadata().and_then(|metadata| metadata.modified());
-    // A time in the future means that the clock has stepped back, so that the age is unknown: the file stays.
+    // A time in the future means that the clock was stepped back. The age is then unknown, and the file
+    // stays.
     modified.is_ok_and(|at| SystemTime::now().duration_since(at).is_ok_and(|age| age > retention))
 }
 
--- a/crates/keys/src/memory.rs
+++ b/crates/keys/src/memory.rs
@@ -3,8 +3,9 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// The maximum number of remembered keys: enough for ten thousand a second with windows of six seconds. Beyond that the
-/// oldest are evicted, and counted. A journal has one more slot, for the anchor of its process's clock.
+/// The maximum number of remembered keys: enough for ten thousand a second with windows of six seconds.
+/// Beyond that the oldest keys are evicted, and counted. A journal has one more slot, for the anchor of its
+/// process's clock.
 pub const MAX_KEYS: usize = 65_535;
 
 /// Where and when a job with an idempotency key was first sent.
@@ -18,7 +19,7 @@
     pub cell: u64,
     /// When it was first sent, in Unix time by the process's clock.
     pub sent: Duration,
-    /// For how long after that endpoints drop a repeated key.
+    /// For how long after the first send endpoints drop a repeated key.
     pub window: Duration,
 }
 
@@ -40,7 +41,7 @@
 
 /// An entry, and the slot of the journal that holds it.
 #[derive(Clone, Copy, Debug)]
-struct Remembered {
+struct StoredEntry {
     slot: u32,
     entry: Entry,
 }
@@ -53,11 +54,12 @@
     sent: Duration,
 }
 
-/// The remembered keys. If the time passed in steps back, entries stay longer.
+/// The remembered keys and their slots. If the time passed to its methods steps back, entries stay longer.
 #[derive(Debug, Default)]
 pub struct KeyTable {
-    keys: HashMap<u64, Remembered>,
-    /// Past writes, oldest first. Those whose slot was forgotten or overwritten since stay in the queue and are skipped.
+    keys: HashMap<u64, StoredEntry>,
+    /// Past writes, oldest first. Writes whose slot was cleared or overwritten since stay in the queue and
+    /// are skipped.
     writes: VecDeque<PastWrite>,
     free_slots: Vec<u32>,
     slots: u32,
@@ -66,7 +68,7 @@
 }
 
 impl KeyTable {
-    /// A memory for up to `max_keys` keys, but no more than [`MAX_KEYS`].
+    /// An empty table for up to `max_keys` keys, but for at least one and at most [`MAX_KEYS`].
     pub fn with_max_keys(max_keys: usize) -> Self {
         KeyTable { max_keys: Some(max_keys.clamp(1, MAX_KEYS)), ..KeyTable::default() }
     }
@@ -81,52 +83,53 @@
         self.keys.is_empty()
     }
 
-    /// The number of keys that were evicted before they expired, because the memory was full.
+    /// The number of keys that were evicted before they expired, because the table was full.
     pub fn evicted(&self) -> u64 {
         self.evicted
     }
 
     /// The entry of this key, unless it has expired.
     pub fn find(&self, now: Duration, key: u64) -> Option<&Entry> {
-        self.keys.get(&key).map(|remembered| &remembered.entry).filter(|entry| !entry.is_expired(now))
+        self.keys.get(&key).map(|stored| &stored.entry).filter(|entry| !entry.is_expired(now))
     }
 
-    /// Remembers a job that is about to be sent, and returns what has to be written to the journal first. None if the key
-    /// is known already: its window starts with the first send.
+    /// Records a job that is about to be sent, and returns the change that has to be written to the journal
+    /// first. None if the key is known already, because its window starts with the first send, or if the
+    /// entry has expired.
     pub fn insert(&mut self, now: Duration, mut entry: Entry) -> Option<SlotWrite> {
-        entry.sent = entry.sent.min(now); // entries of other processes may be from a clock that was ahead
+        entry.sent = entry.sent.min(now); // the clock of another process may have been ahead
         if entry.is_expired(now) || self.find(now, entry.key).is_some() {
             return None;
         }
         // An expired key keeps its slot.
-        let known = self.keys.get(&entry.key).map(|remembered| remembered.slot);
+        let known = self.keys.get(&entry.key).map(|stored| stored.slot);
         let slot = known.unwrap_or_else(|| self.take_slot(now));
         if self.writes.len() >= 2 * self.max_keys() {
-            // Bounds the queue. Linear, but at most once in `max_keys` writes.
+            // Bounds the queue. This takes linear time, but happens at most once in `max_keys` writes.
             self.writes.retain(|write| is_current(&self.keys, write));
         }
         self.writes.push_back(PastWrite { slot, key: entry.key, sent: entry.sent });
-        self.keys.insert(entry.key, Remembered { slot, entry });
+        self.keys.insert(entry.key, StoredEntry { slot, entry });
         Some(SlotWrite { slot, entry: Some(entry) })
     }
 
-    /// Forgets a key whose job has certainly not run and will not.
+    /// Forgets a key whose job has certainly not run and will not run. None if the key is unknown.
     pub fn forget(&mut self, key: u64) -> Option<SlotWrite> {
         let slot = self.keys.remove(&key)?.slot;
         self.free_slots.push(slot);
         Some(SlotWrite { slot, entry: None })
     }
 
-    /// A slot for one more key: that of the oldest key if it has expired, else a free or new one, and that of the oldest
-    /// key if there is none.
+    /// Takes a slot for one more key: that of the oldest key if it has expired, else a free or new slot. If
+    /// the table is full, the oldest key is evicted and its slot taken.
     fn take_slot(&mut self, now: Duration) -> u32 {
         while let Some(&write) = self.writes.front() {
-            let remembered = self.keys.get(&write.key).filter(|_| is_current(&self.keys, &write));
-            let Some(remembered) = remembered else {
+            let stored = self.keys.get(&write.key).filter(|_| is_current(&self.keys, &write));
+            let Some(stored) = stored else {
                 self.writes.pop_front();
                 continue;
             };
-            let is_expired = remembered.entry.is_expired(now);
+            let is_expired = stored.entry.is_expired(now);
             let has_capacity = !self.free_slots.is_empty() || self.keys.len() < self.max_keys();
             if !is_expired && has_capacity {
                 break;
@@ -147,8 +150,7 @@
     }
 }
 
-/// Whether a slot still contains the entry of this write.
-fn is_current(keys: &HashMap<u64, Remembered>, write: &PastWrite) -> bool {
-    keys.get(&write.key)
-        .is_some_and(|remembered| remembered.slot == write.slot && remembered.entry.sent == write.sent)
+/// Whether the slot still holds the entry of this write.
+fn is_current(keys: &HashMap<u64, StoredEntry>, write: &PastWrite) -> bool {
+    keys.get(&write.key).is_some_and(|stored| stored.slot == write.slot && stored.entry.sent == write.sent)
 }
--- a/crates/keys/src/record.rs
+++ b/crates/keys/src/record.rs
@@ -20,8 +20,8 @@
     zones_hash: U64,
 }
 
-/// One slot. An empty slot is all zeros. A slot with a window of zero is no key but the [`ClockAnchor`] of the process:
-/// builds without anchors take it for an expired key and skip it.
+/// One slot. An empty slot is all zeros. A slot with a window of zero holds no key but the [`ClockAnchor`]
+/// of the process: builds without anchors treat it as an expired key and skip it.
 #[derive(FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned)]
 #[repr(C)]
 pub(crate) struct Slot {
@@ -30,11 +30,13 @@
     window_micros: U64,
     cell: U64,
     zone: U32,
-    /// The CRC-32 of all fields before, as a kill or a failing disk may leave a half-written slot.
+    /// The CRC-32 of all fields before this one: a kill or a failing disk may leave a half-written slot.
     checksum: U32,
 }
 
 impl Slot {
+    /// The anchor of a slot with a window of zero; see [`encode_anchor`] for the fields that hold its
+    /// parts.
     fn anchor(&self) -> ClockAnchor {
         ClockAnchor {
             boot_id_hash: self.key.get(),
@@ -59,7 +61,8 @@
 pub(crate) const HEADER_BYTES: usize = size_of::<Header>();
 /// The length of a slot in bytes.
 pub(crate) const SLOT_BYTES: usize = size_of::<Slot>();
-/// The maximum number of slots in a file: all keys and the anchor. Builds without anchors have the same limit.
+/// The maximum number of slots in a file: one for each key, and one for the anchor. Builds without anchors
+/// have the same limit.
 const MAX_SLOTS: usize = MAX_KEYS + 1;
 /// The maximum length of a file in bytes.
 pub(crate) const MAX_BYTES: usize = HEADER_BYTES + SLOT_BYTES * MAX_SLOTS;
@@ -67,14 +70,14 @@
 /// Why a journal file can't be used.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum JournalError {
-    /// The header is missing or that of another format.
+    /// The header is missing or belongs to another format.
     #[error("not a journal of keys")]
     NotAJournal,
     /// It has another format version.
-    #[error("of version {0}, not {VERSION}")]
+    #[error("format version {0}, expected {VERSION}")]
     Version(u32),
-    /// Its process numbered the zones differently; see [`crate::zones_hash`].
-    #[error("of other zones")]
+    /// The process that wrote it numbered the zones differently; see [`crate::zones_hash`].
+    #[error("written for other zones")]
     OtherZones,
     /// It is longer than a journal can be.
     #[error("too long: {0} bytes, at most {MAX_BYTES}")]
@@ -103,7 +106,7 @@
     })
 }
 
-/// Encodes the slot of the process's anchor.
+/// Encodes the slot that holds the process's anchor.
 pub(crate) fn encode_anchor(anchor: &ClockAnchor) -> [u8; SLOT_BYTES] {
     with_checksum(Slot {
         key: anchor.boot_id_hash.into(),
@@ -132,13 +135,13 @@
 pub struct JournalContents {
     /// The entries, in the order of their slots.
     pub entries: Vec<Entry>,
-    /// The number of slots that are neither empty nor have a valid checksum.
+    /// The number of slots that are not empty and have no valid checksum.
     pub corrupt: usize,
     /// The clock of the process that wrote the file; none if an older build wrote it.
     pub anchor: Option<ClockAnchor>,
 }
 
-/// Reads the bytes of a journal file. Corrupt slots are counted and skipped.
+/// Decodes the bytes of a journal file. Corrupt slots are counted and skipped.
 ///
 /// # Errors
 /// Returns why the file as a whole can't be used.
--- a/crates/keys/tests/keys.rs
+++ b/crates/keys/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Remembered keys: their windows, their limit, and how journals outlive the process.
+//! The table of keys (windows, limit, eviction), and journals that are read after their process has ended.
 
 use curlewhub_keys::{
     Entry, Journal, JournalContents, JournalError, KeyTable, OtherJournals, SlotWrite, decode,
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_key_is_known_for_its_window_from_its_first_send() {
+fn a_key_is_remembered_for_its_window_after_its_first_send() {
     let mut table = KeyTable::default();
     let second = Duration::from_secs(1);
     assert!(table.insert(NOW, entry(1, 3, NOW)).is_some());
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_time_in_the_future_is_taken_for_now() {
+fn a_send_time_in_the_future_is_clamped_to_now() {
     let mut table = KeyTable::default();
     table.insert(NOW, entry(1, 1, NOW + Duration::from_secs(60)));
     assert!(table.find(NOW + Duration::from_secs(5), 1).is_some());
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_file_outlives_its_process_and_is_cleared_once_it_is_old() {
+fn a_journal_is_read_after_its_process_ended_and_removed_after_the_retention() {
     let folder = Folder::new("outlives");
     let zones = zones_hash(&["a".to_owned(), "b".to_owned()]);
     let mut table = KeyTable::default();
@@ -91,7 +91,7 @@
     let other_sidecar = OtherJournals::new(&folder.0, "t", None, zones);
     assert!(other_sidecar.read().0.is_empty(), "journals of another sidecar are left out");
     let (found, problems) = OtherJournals::new(&folder.0, "s", Some(&second), 7).read();
-    assert!(found.is_empty() && problems[0].contains("of other zones"), "{problems:?}");
+    assert!(found.is_empty() && problems[0].contains("written for other zones"), "{problems:?}");
     assert_eq!(others.remove_expired(Duration::from_secs(3600)), 0);
     assert_eq!(others.remove_expired(Duration::ZERO), 1);
     assert!(second.path().exists() && others.read().0.is_empty());
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_journal_are_rejected_with_a_specific_error() {
+fn invalid_bytes_are_rejected_with_a_specific_error() {
     let header = encode_header(9);
     assert_eq!(decode(b"CLHK", 9), Err(JournalError::NotAJournal));
     assert_eq!(decode(&[1; 64], 9), Err(JournalError::NotAJournal));
@@ -112,7 +112,7 @@
     assert_eq!(
         decode(&torn, 9),
         Ok(JournalContents { corrupt: 1, ..JournalContents::default() }),
-        "half a record"
+        "half a slot"
     );
     assert!(matches!(decode(&vec![0; 4_000_000], 9), Err(JournalError::TooLong(_))));
 }
@@ -125,9 +125,9 @@
 }
 
 proptest! {
-    /// The slots always contain exactly what the table knows, and both agree with a plain map.
+    /// The slots always contain exactly the entries of the table, and both agree with a plain map.
     #[test]
-    fn slots_table_and_a_plain_map_agree(
+    fn slots_and_table_agree_with_a_plain_map(
         steps in prop::collection::vec((0..40u64, 0..3u8, 0..900u64), 0..300),
         capacity in 1..30usize,
     ) {
@@ -155,7 +155,7 @@
             stored.sort_by_key(|entry| entry.key);
             let mut known: Vec<Entry> = (0..40).filter_map(|key| table.find(now, key)).copied().collect();
             known.sort_by_key(|entry| entry.key);
-            prop_assert_eq!(&stored, &known, "the slots are what is remembered");
+            prop_assert_eq!(&stored, &known, "slots and table differ");
             prop_assert!(table.len() <= capacity);
             if table.evicted() == 0 {
                 let mut plain: Vec<Entry> = plain.values().filter(|e| !e.is_expired(now)).copied().collect();
@@ -166,9 +166,9 @@
     }
 
     #[test]
-    fn no_bytes_make_the_reader_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_do_not_panic_the_decoder(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode(&bytes, 9);
         let contents = decode(&[encode_header(9), bytes].concat(), 9).unwrap();
-        prop_assert!(contents.entries.is_empty(), "a checksum does not fit by chance");
+        prop_assert!(contents.entries.is_empty(), "a checksum matched by chance");
     }
 }
--- a/crates/keys/tests/storage.rs
+++ b/crates/keys/tests/storage.rs
@@ -1,4 +1,4 @@
-//! Journals on failing disks, after kills in the middle of a write, and over steps of the wall clock.
+//! Journals on failing disks, after a kill in the middle of a write, and after steps of the wall clock.
 
 use curlewhub_keys::{
     ClockAnchor, Entry, Journal, JournalFolder, KeyTable, MAX_KEYS, OtherJournals, RETRY_INTERVAL,
@@ -16,7 +16,7 @@
 const HEADER_BYTES: usize = 16;
 const SLOT_BYTES: usize = 40;
 const SECOND: Duration = Duration::from_secs(1);
-/// Written by the build before anchors: keys 0 to 3, of which key 1 was forgotten.
+/// Written by the last build without anchors: keys 0 to 3, of which key 1 was forgotten.
 const JOURNAL_WITHOUT_ANCHOR: &[u8] = include_bytes!("fixtures/journal-v1.bin");
 
 fn entry(key: u64, sent: Duration) -> Entry {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn builds_without_anchors_take_an_anchor_for_an_expired_key() {
+fn builds_without_anchors_treat_an_anchor_as_an_expired_key() {
     let folder = Folder::new("anchor");
     let (mut own, problem) = RetryingJournal::open(folder.location(), NOW, Some(anchor(NOW, SECOND)));
     assert!(problem.is_none());
@@ -84,7 +84,7 @@
         window: Duration::from_micros(word(HEADER_BYTES + 16)),
     };
     assert_eq!((as_key.window, KeyTable::default().insert(NOW, as_key)), (Duration::ZERO, None));
-    // All slots and the anchor are no longer than a file of that version may be.
+    // A file with all keys and the anchor is no longer than those builds accept.
     assert!(decode(&vec![0; HEADER_BYTES + 65_536 * SLOT_BYTES + 1], ZONES_HASH).is_err());
     assert_eq!(MAX_KEYS + 1, 65_536);
 }
@@ -101,7 +101,7 @@
     }
     own.write(NOW, &table.forget(500).unwrap()).unwrap_err();
     std::fs::create_dir(&folder.0).unwrap();
-    assert!(own.retry(NOW).is_err(), "not before the interval has passed");
+    assert!(own.retry(NOW).is_err(), "retried before the interval has passed");
     own.retry(NOW + RETRY_INTERVAL).unwrap();
     assert!(!own.needs_retry());
     assert_eq!(folder.keys(), (0..1000).filter(|key| *key != 500).collect());
@@ -124,9 +124,9 @@
     assert_eq!((own.dirty_slots(), folder.keys().len()), (0, 301));
 }
 
-/// The part of the next test that runs under a limit on the size of files.
+/// The part of the next test that runs in a child process, under a limit on the size of files.
 #[test]
-fn under_a_limit_on_files() {
+fn child_process_writes_under_a_file_size_limit() {
     if std::env::var_os("CURLEWHUB_UNDER_A_LIMIT").is_none() {
         return;
     }
@@ -138,8 +138,9 @@
     assert!(failed.len() > 10 && failed.len() < 50, "{failed:?}");
     assert_eq!(own.dirty_slots(), failed.len());
     let written: BTreeSet<u64> = (0..60).filter(|key| !failed.contains(key)).collect();
-    assert_eq!(folder.keys(), written, "one slot is half written, and the others are intact");
-    // A slot within the limit can still be written; a dirty one gets its newest value once the limit is lifted.
+    assert_eq!(folder.keys(), written, "a half-written slot affected others");
+    // A slot within the limit can still be written. A dirty slot gets its newest value after the limit is
+    // lifted.
     own.write(NOW, &table.forget(0).unwrap()).unwrap();
     own.write(NOW, &table.forget(59).unwrap()).unwrap_err();
     assert!(own.retry(NOW).is_err());
@@ -153,9 +154,10 @@
 }
 
 #[test]
-fn slots_that_the_kernel_rejects_are_written_once_it_accepts_them() {
+fn slots_rejected_by_a_file_size_limit_are_written_after_it_is_lifted() {
     let own = std::env::current_exe().unwrap();
-    let script = "trap '' XFSZ; ulimit -S -f 2; exec \"$0\" --exact under_a_limit_on_files --nocapture";
+    let script = "trap '' XFSZ; ulimit -S -f 2; \
+        exec \"$0\" --exact child_process_writes_under_a_file_size_limit --nocapture";
     let output = Command::new("sh")
         .args(["-c", script])
         .arg(own)
@@ -166,7 +168,7 @@
     assert!(output.status.success() && stdout.contains("under a limit: done"), "{output:?}");
 }
 
-/// The entries that a reader finds in these bytes; none if they can't be read.
+/// The entries that are decoded from these bytes; none if the decoder rejects them.
 fn read_entries(bytes: &[u8]) -> Vec<Entry> {
     decode(bytes, ZONES_HASH).map(|contents| contents.entries).unwrap_or_default()
 }
@@ -177,29 +179,32 @@
     let (mut own, _) = RetryingJournal::open(folder.location(), NOW, Some(anchor(NOW, SECOND)));
     let mut table = KeyTable::default();
     (0..4).for_each(|key| write(&mut own, &mut table, key).unwrap());
-    let whole = std::fs::read(own.path()).unwrap();
-    let all = read_entries(&whole);
+    let intact = std::fs::read(own.path()).unwrap();
+    let all = read_entries(&intact);
     assert_eq!(all.len(), 4);
-    for length in 0..=whole.len() {
+    for length in 0..=intact.len() {
         let slots = length.saturating_sub(HEADER_BYTES + SLOT_BYTES) / SLOT_BYTES;
-        assert_eq!(read_entries(&whole[..length]), all[..slots], "cut at {length}");
+        assert_eq!(read_entries(&intact[..length]), all[..slots], "cut at {length}");
     }
-    // The third slot is overwritten, by another key or by an empty slot, and the process is killed in between.
+    // The third slot is overwritten with another key or cleared, and the process is killed during that
+    // write.
     let at = HEADER_BYTES + 3 * SLOT_BYTES;
     for forget in [true, false] {
         own.write(NOW, &table.forget(2).unwrap()).unwrap();
         if !forget {
             write(&mut own, &mut table, 7).unwrap();
         }
-        let over = std::fs::read(own.path()).unwrap();
+        let overwritten = std::fs::read(own.path()).unwrap();
         for done in 0..=SLOT_BYTES {
-            let mut torn = whole.clone();
-            torn[at..at + done].copy_from_slice(&over[at..at + done]);
+            let mut torn = intact.clone();
+            torn[at..at + done].copy_from_slice(&overwritten[at..at + done]);
             let left = read_entries(&torn);
             let kept: Vec<u64> = left.iter().map(|entry| entry.key).filter(|key| key % 7 != 2).collect();
             let expected: &[u64] = if left.contains(&entry(7, NOW)) { &[0, 1, 7, 3] } else { &[0, 1, 3] };
             assert_eq!(kept, expected, "{done} bytes");
-            assert!(left.iter().all(|entry| all.contains(entry) || read_entries(&over).contains(entry)));
+            assert!(
+                left.iter().all(|entry| all.contains(entry) || read_entries(&overwritten).contains(entry))
+            );
         }
         table = KeyTable::default();
         (0..4).for_each(|key| assert!(table.insert(NOW, entry(key, NOW)).is_some()));
@@ -219,7 +224,8 @@
     }
 }
 
-/// The table of a process that starts `age` after another one sent a key; the wall clock is stepped in between.
+/// The table of a process that starts `age` after another one sent a key, and the time of its start. The
+/// wall clock is stepped in between.
 fn successor(folder: &Path, age: Duration, step_micros: i64, same_boot: bool) -> (KeyTable, Duration) {
     let location =
         JournalFolder { folder: folder.to_owned(), sidecar: "s".to_owned(), zones_hash: ZONES_HASH };
@@ -239,7 +245,7 @@
 }
 
 #[test]
-fn a_step_between_two_processes_neither_shortens_nor_lengthens_a_window() {
+fn a_clock_step_between_two_processes_does_not_change_a_window() {
     for step in [-3_600, -10, -1, 0, 1, 5, 10, 3_600] {
         for age in [0, 1, 5, 6, 7] {
             let folder = Folder::new("step");
@@ -268,28 +274,28 @@
 }
 
 #[test]
-fn files_are_removed_by_real_time_and_never_those_of_a_living_process() {
+fn files_are_removed_by_elapsed_time_and_never_while_their_process_runs() {
     let folder = Folder::new("clear");
     let up = Duration::from_secs(5000);
     let (mut own, _) = RetryingJournal::open(folder.location(), NOW, Some(anchor(NOW, up)));
     write(&mut own, &mut KeyTable::default(), 1).unwrap();
-    let clear = |real: Duration, step: i64| {
-        let now = shift(NOW + real, step * 1_000_000);
-        let clock = anchor(now, up + real);
+    let remove = |elapsed: Duration, step: i64| {
+        let now = shift(NOW + elapsed, step * 1_000_000);
+        let clock = anchor(now, up + elapsed);
         folder.others().remove_expired_with_clock(Duration::from_secs(66), Some((&clock, now)))
     };
-    assert_eq!(clear(Duration::from_secs(7200), 0), 0, "its process is alive and was only idle");
+    assert_eq!(remove(Duration::from_secs(7200), 0), 0, "its process is alive, but idle");
     assert_eq!(folder.others().remove_expired(Duration::ZERO), 0, "the same by modification time");
     drop(own);
-    assert_eq!(clear(SECOND, 3600) + clear(SECOND, -3600) + clear(Duration::from_secs(60), 0), 0);
-    assert_eq!(clear(Duration::from_secs(70), -3600), 1);
-    // Without an anchor the modification time counts.
+    assert_eq!(remove(SECOND, 3600) + remove(SECOND, -3600) + remove(Duration::from_secs(60), 0), 0);
+    assert_eq!(remove(Duration::from_secs(70), -3600), 1);
+    // The age of a file without an anchor is that of its modification time.
     Journal::create(&folder.0, "s", NOW, ZONES_HASH).unwrap();
-    assert_eq!(clear(Duration::from_secs(7200), 0), 0);
+    assert_eq!(remove(Duration::from_secs(7200), 0), 0);
 }
 
 proptest! {
-    /// Wherever a write is cut, the slot holds the old entry, the new one or none.
+    /// Wherever a write is interrupted, the slot holds the old entry, the new one or none.
     #[test]
     fn a_torn_slot_never_yields_a_wrong_entry(old in any::<(u64, u32, u64, u64)>(), new in any::<(u64, u32, u64, u64)>(), cut in 0..=SLOT_BYTES) {
         let make = |(key, zone, cell, micros): (u64, u32, u64, u64)| {
--- a/crates/keys/tests/stored_forms.rs
+++ b/crates/keys/tests/stored_forms.rs
@@ -1,4 +1,4 @@
-//! Journals: the same bytes and file names as commit d7660a1 wrote, read and written.
+//! Journals are read and written with the same bytes and file names as at commit d7660a1.
 
 #[path = "../../control-plane/tests/support/fixture.rs"]
 mod fixture;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_journal_has_the_same_name_and_bytes() {
+fn a_journal_has_the_file_name_and_bytes_of_the_earlier_build() {
     let folder = std::env::temp_dir().join(format!("curlewhub-keys-forms-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let journal = journal(&folder);
