--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,12 +1,14 @@
-//! The binary format of a [`Snapshot`] of what a balancer has learned. A sidecar hands it to its successor, and stores it
-//! in a file for a start after a crash.
+//! The binary format of a [`Snapshot`] of a balancer's learned state. A sidecar sends it to its successor,
+//! and stores it in a file for a restart after a crash.
 //!
-//! A header precedes the payload (postcard). Its fields are little-endian: magic (4 bytes), version (2), the fingerprint
-//! of the settings (8), the length of the payload (4), and a CRC-32 of the header so far and the payload (4). Invalid
-//! bytes are rejected with a specific [`SnapshotError`], and the process starts without a snapshot.
+//! A header precedes the payload (postcard). Its fields are little-endian: magic (4 bytes), version (2),
+//! the fingerprint of the settings (8), the length of the payload (4), and a CRC-32 of the preceding header
+//! fields and the payload (4). Invalid bytes are rejected with a specific [`SnapshotError`], and the
+//! process starts without a snapshot.
 //!
-//! An appendix may follow the snapshot within the payload; builds without appendices ignore it. It holds the clock of the
-//! process that took the snapshot, so that a step of the wall clock since then can be corrected.
+//! An appendix may follow the snapshot within the payload; builds without appendices ignore it. It contains
+//! the clock anchor of the process that took the snapshot, so that a step of the wall clock since then can
+//! be corrected.
 
 #![warn(clippy::too_many_lines)]
 
@@ -26,20 +28,21 @@
 const VERSION: u16 = 1;
 /// The length of the header in bytes.
 const HEADER_BYTES: usize = 22;
-/// Offsets of the header's fields.
+// The offsets of the header's fields, in bytes.
 const VERSION_OFFSET: usize = 4;
 const FINGERPRINT_OFFSET: usize = 6;
 const LENGTH_OFFSET: usize = 14;
 const CHECKSUM_OFFSET: usize = 18;
 /// The maximum length of an encoded snapshot in bytes: 100,000 endpoints take under 10 MiB.
 pub const MAX_BYTES: usize = 16 << 20;
-/// A snapshot from the future by up to this is used: the wall clock may have stepped back between two processes.
+/// A snapshot that was taken up to this far in the future is accepted: the wall clock may have been stepped
+/// back between two processes.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(60);
 
 /// Why a snapshot can't be used.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SnapshotError {
-    /// It is shorter than the header, or than the length stated in the header.
+    /// It is shorter than the header, or shorter than the header states.
     #[error("truncated: {have} bytes of {want}")]
     Truncated {
         /// Its length in bytes.
@@ -47,7 +50,7 @@
         /// The expected length in bytes.
         want: usize,
     },
-    /// It is longer than [`MAX_BYTES`], or than the length stated in the header.
+    /// It is longer than [`MAX_BYTES`], or longer than the header states.
     #[error("too long: {have} bytes, at most {max}")]
     TooLong {
         /// Its length in bytes.
@@ -55,7 +58,7 @@
         /// The maximum length in bytes.
         max: usize,
     },
-    /// It does not begin with the magic bytes.
+    /// It does not start with the magic bytes.
     #[error("not a snapshot")]
     NotASnapshot,
     /// It has another format version.
@@ -65,21 +68,22 @@
     #[error("of another tier or configuration")]
     Configuration,
     /// Its checksum does not match its bytes.
-    #[error("corrupt: its checksum does not fit")]
+    #[error("corrupt: checksum mismatch")]
     Corrupt,
-    /// Its payload can't be decoded, or contains values that no balancer reaches.
+    /// Its payload can't be decoded, or contains values that no balancer can have.
     #[error("malformed")]
     Malformed,
-    /// It is older than [`AGE_MOST`]: what it says no longer holds.
+    /// It is older than [`AGE_MOST`], so the state in it is outdated.
     #[error("too old: {} s, at most {}", .0.as_secs(), AGE_MOST.as_secs())]
     TooOld(Duration),
-    /// It was taken in the future, by more than a small step of the clock explains.
-    #[error("from the future, by {} s", .0.as_secs())]
+    /// It was taken further in the future than a small step of the clock explains.
+    #[error("taken {} s in the future", .0.as_secs())]
     FromTheFuture(Duration),
 }
 
-/// The fingerprint of settings. A snapshot is used only under the settings that it was taken with. The fingerprint is the
-/// same in every process of one build, and hashes the settings' debug text: renamed fields change it.
+/// The fingerprint of settings. A snapshot is used only under the settings that it was taken under. The
+/// fingerprint is a hash of the settings' `Debug` text, so renamed fields change it. It is the same in
+/// every process of one build.
 pub fn fingerprint(settings: &Settings) -> u64 {
     struct Hash(FnvHasher);
     impl Write for Hash {
@@ -101,7 +105,7 @@
     encode_with_appendix(snapshot, fingerprint, &[])
 }
 
-/// Encodes a snapshot followed by an appendix, which [`appendix`] returns.
+/// As [`encode`], with an appendix after the snapshot, which [`appendix`] returns.
 ///
 /// # Errors
 /// Returns [`SnapshotError::TooLong`] if it would be longer than [`MAX_BYTES`].
@@ -140,7 +144,8 @@
     found.ok_or(SnapshotError::Truncated { have: bytes.len(), want: HEADER_BYTES })
 }
 
-/// Decodes a snapshot whatever its settings and age are. Returns it with the fingerprint of its settings.
+/// Decodes a snapshot without checking its settings and age. Returns it with the fingerprint of its
+/// settings.
 ///
 /// # Errors
 /// Returns why it can't be decoded.
@@ -154,7 +159,7 @@
     }
     let fingerprint = u64::from_le_bytes(header_field(bytes, FINGERPRINT_OFFSET)?);
     let length = u32::from_le_bytes(header_field(bytes, LENGTH_OFFSET)?) as usize;
-    let expected = u32::from_le_bytes(header_field(bytes, CHECKSUM_OFFSET)?);
+    let expected_checksum = u32::from_le_bytes(header_field(bytes, CHECKSUM_OFFSET)?);
     let want = HEADER_BYTES + length;
     if want > MAX_BYTES || bytes.len() > want {
         return Err(SnapshotError::TooLong { have: bytes.len().max(want), max: want.min(MAX_BYTES) });
@@ -163,7 +168,7 @@
         return Err(SnapshotError::Truncated { have: bytes.len(), want });
     }
     let payload = &bytes[HEADER_BYTES..];
-    if checksum(&bytes[..CHECKSUM_OFFSET], payload) != expected {
+    if checksum(&bytes[..CHECKSUM_OFFSET], payload) != expected_checksum {
         return Err(SnapshotError::Corrupt);
     }
     let snapshot: Snapshot = postcard::from_bytes(payload).map_err(|_| SnapshotError::Malformed)?;
@@ -184,8 +189,8 @@
     decode_corrected(bytes, fingerprint, now, 0)
 }
 
-/// As [`decode`], after adding `correction_micros` to the snapshot's times: the step of the wall clock since the process
-/// that took the snapshot had started.
+/// As [`decode`], after adding `correction_micros` to the snapshot's times. This is the step of the wall
+/// clock since the start of the process that took the snapshot.
 ///
 /// # Errors
 /// Returns why it can't be used.
--- a/crates/snapshot/src/store.rs
+++ b/crates/snapshot/src/store.rs
@@ -1,4 +1,4 @@
-//! The file that stores a snapshot, and the atomic replacement of files.
+//! The file that stores a snapshot, and the atomic replacement of a file's contents.
 
 use crate::MAX_BYTES;
 use std::fs::File;
@@ -23,7 +23,7 @@
         &self.path
     }
 
-    /// Removes temporary files that killed processes have left, and returns their number.
+    /// Removes temporary files of killed processes, and returns their number.
     pub fn remove_temporary_files(&self) -> usize {
         remove_temporary_files(&self.path)
     }
@@ -53,9 +53,10 @@
     }
 }
 
-/// Replaces the contents of a file. They are written to a temporary file that is then renamed, so that readers see either
-/// the old or the new contents also after a kill. The temporary file is removed if writing or renaming fails. Nothing is
-/// synced: the contents survive a crash of the process, but perhaps not of the machine.
+/// Replaces the contents of a file. They are written to a temporary file that is then renamed, so that
+/// readers see either the old or the new contents, even after a kill. The temporary file is removed if
+/// writing or renaming fails. The file is not synced: the contents survive a crash of the process, but
+/// perhaps not one of the machine.
 ///
 /// # Errors
 /// Returns why the contents can't be written; the file is unchanged then.
@@ -63,12 +64,12 @@
     let temporary = temporary_path(path, std::process::id());
     let written = std::fs::write(&temporary, bytes).and_then(|()| std::fs::rename(&temporary, path));
     if written.is_err() {
-        let _ = std::fs::remove_file(&temporary); // a full disk needs the space
+        let _ = std::fs::remove_file(&temporary); // frees the space on a full disk
     }
     written
 }
 
-/// Removes temporary files that killed processes have left beside this file, and returns their number.
+/// Removes the temporary files of this file that killed processes have left, and returns their number.
 pub fn remove_temporary_files(path: &Path) -> usize {
     let siblings = path.parent().and_then(|folder| std::fs::read_dir(folder).ok());
     let is_abandoned = |sibling: &PathBuf| {
@@ -82,7 +83,7 @@
     paths.filter(is_abandoned).filter(|path| std::fs::remove_file(path).is_ok()).count()
 }
 
-/// The temporary file of the process with this id.
+/// The temporary file that the process with this id uses for this file.
 fn temporary_path(path: &Path, process: u32) -> PathBuf {
     path.with_extension(format!("{process}.new"))
 }
--- a/crates/snapshot/tests/codec.rs
+++ b/crates/snapshot/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Encoding and decoding of snapshots, a specific error for each kind of invalid bytes, and the file.
+//! Encoding and decoding of snapshots, the errors for invalid bytes, and the snapshot file.
 
 use curlewhub_balance::{Balancer, EndpointInfo, Event, Membership, Settings, Snapshot};
 use curlewhub_snapshot::{MAX_BYTES, SnapshotError, Store, decode, decode_any, encode, fingerprint};
@@ -43,19 +43,19 @@
     };
     assert!(matches!(error_of(&changed(4)), SnapshotError::Version(_)));
     assert_eq!(error_of(&changed(40)), SnapshotError::Corrupt);
-    assert_eq!(error_of(&changed(8)), SnapshotError::Corrupt, "the fingerprint itself");
+    assert_eq!(error_of(&changed(8)), SnapshotError::Corrupt, "a changed fingerprint");
     let other = Settings { tier: 1, tiers: 2, ..Settings::default() };
     assert_eq!(decode(&bytes, fingerprint(&other), NOW).unwrap_err(), SnapshotError::Configuration);
     let at = |now| decode(&bytes, default_fingerprint(), now);
     assert!(matches!(at(NOW + Duration::from_secs(61)), Err(SnapshotError::TooOld(_))));
     assert!(matches!(at(NOW - Duration::from_secs(61)), Err(SnapshotError::FromTheFuture(_))));
-    assert!(at(NOW - Duration::from_secs(5)).is_ok(), "a clock that has stepped back a little");
+    assert!(at(NOW - Duration::from_secs(5)).is_ok(), "a small step back of the clock");
     let huge = [&bytes[..14], &u32::MAX.to_le_bytes()[..], &bytes[18..]].concat();
     assert!(matches!(error_of(&huge), SnapshotError::TooLong { .. }));
 }
 
 #[test]
-fn a_hundred_thousand_endpoints_fit() {
+fn a_snapshot_of_a_hundred_thousand_endpoints_is_within_the_size_limit() {
     let bytes = encode(&snapshot(100_000), default_fingerprint()).unwrap();
     assert!(bytes.len() < MAX_BYTES * 3 / 4, "{} bytes", bytes.len());
     assert_eq!(decode(&bytes, default_fingerprint(), NOW).unwrap().endpoints.len(), 100_000);
@@ -86,9 +86,9 @@
     }
 
     #[test]
-    fn no_bytes_make_the_decoder_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_do_not_panic_the_decoder(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = decode(&bytes, default_fingerprint(), NOW);
-        // With a matching header the payload is decoded as well.
+        // With a valid header the payload is decoded as well.
         let mut with_header = encode(&snapshot(1), default_fingerprint()).unwrap()[..14].to_vec();
         with_header.extend_from_slice(&(bytes.len() as u32).to_le_bytes());
         let mut checksum = crc32(&with_header, &bytes);
--- a/crates/snapshot/tests/fuzz.rs
+++ b/crates/snapshot/tests/fuzz.rs
@@ -1,5 +1,6 @@
-//! A fuzz target, run over seeded inputs: decoding mutated bytes of a snapshot does not panic, and a balancer that starts
-//! from what is still accepted works. The environment variable `CASES` sets the number of inputs.
+//! A fuzz target that is run with seeded inputs: decoding a mutated snapshot does not panic, and a balancer
+//! that is restored from bytes that are still accepted works. The environment variable `CASES` sets the
+//! number of inputs.
 
 use arbitrary::{Arbitrary, Unstructured};
 use curlewhub_balance::{
@@ -12,7 +13,7 @@
 use std::time::Duration;
 
 const NOW: Duration = Duration::from_secs(1_000_000);
-/// The default number of inputs; takes a few seconds in a debug build.
+/// The default number of inputs, which takes a few seconds in a debug build.
 const CASES: usize = 6_000;
 /// The length of the header: magic, version, fingerprint, length, checksum.
 const HEADER_BYTES: usize = 22;
@@ -40,7 +41,7 @@
         to: u16,
         length: u8,
     },
-    /// Overwrites eight bytes by an extreme float.
+    /// Overwrites eight bytes with an extreme float.
     Number {
         at: u16,
         which: u8,
@@ -54,11 +55,12 @@
     /// Outcomes of calls before the snapshot is taken, and the milliseconds before each.
     before: Vec<(u8, u16)>,
     mutations: Vec<Mutation>,
-    /// Length and checksum are set to match the mutated payload, so that it is decoded as well.
+    /// The header's length and checksum are set to match the mutated payload, so that the payload is
+    /// decoded as well.
     header_matches: bool,
     /// The step of the clock before the snapshot is used, in seconds.
     clock_step: i8,
-    /// As `before`, after the restart.
+    /// As `before`, but after the restart.
     after: Vec<(u8, u16)>,
 }
 
@@ -108,7 +110,8 @@
     balancer
 }
 
-/// Simulates calls. Attempts have to go to listed endpoints, and their number for each request has to be bounded.
+/// Simulates calls. Checks that attempts go to listed endpoints and that their number for each request is
+/// bounded.
 fn simulate_calls(balancer: &mut Balancer, mut now: Duration, first: u64, steps: &[(u8, u16)], listed: u8) {
     for (n, (kind, millis)) in steps.iter().enumerate() {
         now += Duration::from_millis((*millis).into());
@@ -171,7 +174,7 @@
     let mut new = balancer(case.endpoints % 12, now);
     let restored = new.restore(now, &decoded);
     simulate_calls(&mut new, now, 1_000_000, &case.after, case.endpoints % 12);
-    assert!(new.snapshot(now).is_sound(), "its own snapshot would be rejected");
+    assert!(new.snapshot(now).is_sound(), "the restored balancer takes an unsound snapshot");
     let gone = EndpointInfo { state: EndpointState::Gone, ..EndpointInfo::ready(0) };
     new.handle(now, Event::Membership(Membership::Delta(vec![gone])), &mut Vec::new());
     restored
@@ -190,15 +193,15 @@
 }
 
 #[test]
-fn mutated_snapshots_are_rejected_or_harmless() {
+fn mutated_snapshots_are_rejected_or_restore_a_working_balancer() {
     let cases = std::env::var("CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(CASES);
     let mut random = Pcg32::seed_from_u64(20);
-    let mut started = 0;
+    let mut restored = 0;
     for n in 0..cases {
         let mut bytes = vec![0; 64 + n % 512];
         random.fill_bytes(&mut bytes);
         let case = Case::arbitrary(&mut Unstructured::new(&bytes)).expect("any bytes make a case");
-        started += usize::from(target(&case));
+        restored += usize::from(target(&case));
     }
-    assert!(started * 20 > cases, "a balancer was restored in only {started} of {cases} cases");
+    assert!(restored * 20 > cases, "a balancer was restored in only {restored} of {cases} cases");
 }
--- a/crates/snapshot/tests/stored_forms.rs
+++ b/crates/snapshot/tests/stored_forms.rs
@@ -1,4 +1,5 @@
-//! Snapshots: the same bytes, file name and fingerprint as commit d7660a1 wrote, read and written.
+//! Snapshots are read and written with the same bytes, file name and settings fingerprint as at commit
+//! d7660a1.
 
 #[path = "../../control-plane/tests/support/fixture.rs"]
 mod fixture;
@@ -8,14 +9,15 @@
 use fixture::{assert_same, hex, unhex, values};
 use std::time::Duration;
 
-const MARK: u64 = 0x0123_4567_89ab_cdef;
+const FINGERPRINT: u64 = 0x0123_4567_89ab_cdef;
 const NOW: Duration = Duration::from_micros(1_700_000_000_123_456);
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// The payload's fields one after another, each with a value of its own: most of them are private.
+/// The payload's fields in their order, each with a different value. Most fields of [`Snapshot`] are
+/// private, so a tuple is encoded.
 fn payload() -> Vec<u8> {
     let value = |n: u64| (n as f64 + 0.5, ms(n));
     let endpoint = |id: u64, started: Option<Duration>, back: Option<Duration>| {
@@ -34,7 +36,7 @@
     postcard::from_bytes(&payload()).unwrap()
 }
 
-/// Settings that differ from the default ones in each part that a file sets.
+/// Settings that differ from the default in each part that a configuration file sets.
 fn settings() -> Settings {
     let semantics = Semantics::Keyed { group: Group::Zone, window: ms(6001) };
     let classes = vec![Class { semantics, ..Class::default() }, Class::default()];
@@ -48,9 +50,9 @@
 }
 
 #[test]
-fn a_snapshot_has_the_same_bytes_and_its_file_the_same_name() {
+fn a_snapshot_has_the_file_name_and_bytes_of_the_earlier_build() {
     let written = [
-        ("snapshot", hex(&encode(&snapshot(), MARK).unwrap())),
+        ("snapshot", hex(&encode(&snapshot(), FINGERPRINT).unwrap())),
         ("payload", hex(&payload())),
         ("file", store("folder")),
     ];
@@ -60,12 +62,13 @@
 #[test]
 fn a_snapshot_of_the_earlier_build_is_read() {
     let bytes = unhex(&values("snapshot.txt")[0].1);
-    assert_eq!(decode(&bytes, MARK, NOW), Ok(snapshot()));
+    assert_eq!(decode(&bytes, FINGERPRINT, NOW), Ok(snapshot()));
 }
 
-/// A successor of another build takes a snapshot only where both come to the same fingerprint of their settings.
+/// A successor of another build accepts a snapshot only if both builds compute the same fingerprint of
+/// their settings.
 #[test]
-fn settings_have_the_same_fingerprint() {
+fn settings_have_the_fingerprint_of_the_earlier_build() {
     let written = [
         ("default", format!("{:016x}", fingerprint(&Settings::default()))),
         ("other", format!("{:016x}", fingerprint(&settings()))),
