--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -161,7 +161,7 @@
         actions.clear();
         let ended = match &event {
             Event::AttemptEnded(attempt) => Some(attempt.request),
-            Event::RequestGone(id) => Some(*id),
+            Event::RequestAbandoned(id) => Some(*id),
             _ => None,
         };
         let balancer = &mut host.balancer;
@@ -234,7 +234,7 @@
         let Some(tracked) = self.tracked.get_mut(&id) else { return false };
         match event {
             Event::StreamStarted { request, .. } => *request = id,
-            Event::RequestGone(request) => {
+            Event::RequestAbandoned(request) => {
                 *request = id;
                 tracked.finished = true;
             }
--- a/crates/adapter/src/print.rs
+++ b/crates/adapter/src/print.rs
@@ -13,7 +13,7 @@
     names: &EndpointNames,
 ) -> Option<String> {
     Some(match action {
-        Action::DropTimer { .. } => return None,
+        Action::CancelTimer { .. } => return None,
         Action::Send { endpoint, timeout, .. } => {
             // Zero means "no timeout of its own" in the protocol, so at least a microsecond is sent.
             let timeout = (*timeout).max(Duration::from_micros(1));
