--- a/crates/runtime/tests/connect.rs
+++ b/crates/runtime/tests/connect.rs
@@ -1,4 +1,4 @@
-//! Local faults are distinguished from faults of an endpoint.
+//! Connect errors caused by the local machine are distinguished from errors of an endpoint.
 
 use curlewhub_balance::EndpointId;
 use curlewhub_runtime::connect::{ConnectError, RouteFaults, connect};
@@ -17,17 +17,17 @@
 }
 
 #[test]
-fn each_error_of_connect_has_one_cause() {
-    let of = |errno: Errno| ConnectError::from(std::io::Error::from(errno));
+fn each_connect_error_is_classified_by_its_cause() {
+    let error_of = |errno: Errno| ConnectError::from(std::io::Error::from(errno));
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::INTR] {
-        assert!(matches!(of(errno), ConnectError::Resources(_)), "{errno}");
+        assert!(matches!(error_of(errno), ConnectError::Resources(_)), "{errno}");
     }
     for errno in [Errno::ADDRNOTAVAIL, Errno::NETUNREACH, Errno::NETDOWN, Errno::AGAIN, Errno::PERM] {
-        assert!(matches!(of(errno), ConnectError::Route(_)), "{errno}");
+        assert!(matches!(error_of(errno), ConnectError::Route(_)), "{errno}");
     }
-    assert!(matches!(of(Errno::CONNREFUSED), ConnectError::Refused));
+    assert!(matches!(error_of(Errno::CONNREFUSED), ConnectError::Refused));
     for errno in [Errno::TIMEDOUT, Errno::HOSTUNREACH, Errno::CONNRESET] {
-        assert!(matches!(of(errno), ConnectError::Failed(_)), "{errno}");
+        assert!(matches!(error_of(errno), ConnectError::Failed(_)), "{errno}");
     }
 }
 
@@ -52,12 +52,13 @@
 }
 
 #[test]
-fn a_route_fault_of_one_endpoint_alone_is_its_own() {
+fn a_route_fault_of_a_single_endpoint_is_not_local() {
     let mut routes = RouteFaults::default();
-    assert!(routes.is_local(seconds(1), endpoint(0), LISTED), "the first may be momentary");
+    assert!(routes.is_local(seconds(1), endpoint(0), LISTED), "the first fault may be transient");
     routes.connected(seconds(2), endpoint(1));
     assert!(!routes.is_local(seconds(3), endpoint(0), LISTED), "another endpoint was reached since");
-    // Connections to the others may stay open, so that none is made: then only the endpoint's own faults count.
+    // If the connections to the other endpoints stay open, no new ones are made. Then only the faults of
+    // this endpoint count.
     let mut routes = RouteFaults::default();
     let local = (0..5).filter(|_| routes.is_local(seconds(1), endpoint(0), LISTED)).count();
     assert_eq!(local, 2);
--- a/crates/runtime/tests/endpoint_bans.rs
+++ b/crates/runtime/tests/endpoint_bans.rs
@@ -1,4 +1,4 @@
-//! Operator bans and their file: persistence, failing disks, and files that killed processes left.
+//! Operator bans and their file: persistence, failing disks, and temporary files of killed processes.
 
 use curlewhub_runtime::endpoint_bans::EndpointBans;
 use std::path::PathBuf;
@@ -35,7 +35,7 @@
     let state_dir = StateDir::new("read");
     state_dir.load().set("s-1", true).unwrap();
     let kept = std::fs::read(state_dir.file()).unwrap();
-    // A state_dir in its place can't be read: a stand-in for EIO.
+    // A directory in its place can't be read, which stands in for EIO.
     std::fs::remove_file(state_dir.file()).unwrap();
     std::fs::create_dir(state_dir.file()).unwrap();
     let bans = state_dir.load();
@@ -43,7 +43,7 @@
     assert!(bans.set("s-2", true).is_err() && !bans.contains("s-2"));
     std::fs::remove_dir(state_dir.file()).unwrap();
     std::fs::write(state_dir.file(), kept).unwrap();
-    assert!(bans.retry().is_empty(), "not before its time");
+    assert!(bans.retry().is_empty(), "retried before it was due");
     sleep_until(bans.retry_at().unwrap()).await;
     assert_eq!(bans.retry(), ["s-1"]);
     assert_eq!(bans.retry_at(), None);
@@ -63,7 +63,7 @@
     assert!(bans.retry_at().is_some(), "the directory is still missing");
     std::fs::create_dir_all(&state_dir.0).unwrap();
     sleep_until(bans.retry_at().unwrap()).await;
-    assert!(bans.retry().is_empty(), "they were in force all the time");
+    assert!(bans.retry().is_empty(), "the ban was in force already");
     assert_eq!((bans.retry_at(), state_dir.load().all()), (None, vec!["s-1".to_owned()]));
 }
 
@@ -71,17 +71,17 @@
 fn temporary_files_of_killed_processes_are_removed_and_those_of_live_ones_stay() {
     let state_dir = StateDir::new("temporary");
     let name = |process: u32| state_dir.0.join(format!("curlewhub-bans-127.0.0.1-70.{process}.new"));
-    let killed = u32::MAX; // no process has this id
-    let other_sidecars = state_dir.0.join(format!("curlewhub-bans-127.0.0.1-71.{killed}.new"));
-    for path in [name(killed), name(1), other_sidecars.clone()] {
+    let killed_process = u32::MAX; // no process has this id
+    let other_sidecars = state_dir.0.join(format!("curlewhub-bans-127.0.0.1-71.{killed_process}.new"));
+    for path in [name(killed_process), name(1), other_sidecars.clone()] {
         std::fs::write(path, "half").unwrap();
     }
     state_dir.load();
-    assert!(!name(killed).exists() && name(1).exists() && other_sidecars.exists());
+    assert!(!name(killed_process).exists() && name(1).exists() && other_sidecars.exists());
 }
 
 #[test]
-fn a_ban_that_is_set_twice_is_lifted_once_and_outlives_the_process() {
+fn a_ban_that_is_set_twice_is_lifted_by_one_call_and_bans_survive_a_restart() {
     let state_dir = StateDir::new("twice");
     let bans = state_dir.load();
     bans.set("s-1", true).unwrap();
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn an_invalid_file_is_set_aside() {
+fn an_invalid_file_counts_as_no_bans_and_is_overwritten() {
     for invalid in ["", "{\"version\":1,\"detached\":[\"s-", "{\"version\":9,\"detached\":[]}", "\u{0}"] {
         let state_dir = StateDir::new("invalid");
         std::fs::write(state_dir.file(), invalid).unwrap();
--- a/crates/runtime/tests/handover_protocol.rs
+++ b/crates/runtime/tests/handover_protocol.rs
@@ -5,7 +5,7 @@
 use curlewhub_runtime::handover::protocol::Message;
 
 #[test]
-fn messages_are_parsed_as_they_are_written() {
+fn written_messages_are_parsed_to_the_same_messages() {
     let ban = |banned| Message::Ban { uid: "s-1".to_owned(), banned };
     let learned_state = Message::LearnedState(vec![0, 10, 255]);
     let portion: ShareTransfer =
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn invalid_lines_are_refused() {
+fn invalid_lines_are_rejected() {
     let infinite = r#"GIVE 3 {"windows":[[1e999,true],[1.0,false]],"retries":0.1}"#;
     for invalid in
         ["", "DETACH", "SPARE", "SPARE -1", "DONE x", "HELLO", "LEARN x", "LEARNT ~", "NEED", infinite]
--- a/crates/runtime/tests/interrupts.rs
+++ b/crates/runtime/tests/interrupts.rs
@@ -14,7 +14,7 @@
     random: RefCell<Pcg32>,
     incoming: RefCell<Vec<u8>>,
     written: RefCell<Vec<u8>>,
-    /// The error of the read after the last byte; end of file if none.
+    /// The error that a read after the last byte returns; end of file if none.
     end: Option<ErrorKind>,
 }
 
@@ -63,7 +63,7 @@
 
 impl AsyncWrite for FaultySocket {
     fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, _: &[u8]) -> Poll<io::Result<usize>> {
-        unreachable!("written to by `write_now` alone")
+        unreachable!("writes use only `write_now`")
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_broken_connection_is_reported_as_its_own_error() {
+async fn the_error_of_a_broken_connection_is_returned() {
     for kind in [ErrorKind::ConnectionReset, ErrorKind::TimedOut, ErrorKind::HostUnreachable] {
         let mut stream = Uninterrupted(FaultySocket::new(1, b"abc", Some(kind)));
         let mut read = Vec::new();
@@ -99,7 +99,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_call_is_retried_after_interrupts_and_no_other_error() {
+async fn a_call_is_retried_after_interrupts_but_not_after_other_errors() {
     let calls = Cell::new(0);
     let call = |interrupts: u32, then: Option<ErrorKind>| {
         calls.set(calls.get() + 1);
--- a/crates/runtime/tests/lifecycle.rs
+++ b/crates/runtime/tests/lifecycle.rs
@@ -7,13 +7,13 @@
 fn a_drain_can_be_undone_and_a_termination_can_not() {
     let lifecycle = Lifecycle::new(Duration::from_secs(1));
     assert_eq!(lifecycle.state(), State::Starting);
-    assert!(!lifecycle.resume(), "not ready before the start is completed");
+    assert!(!lifecycle.resume(), "resumed before the start is completed");
     lifecycle.start_completed();
     assert!(lifecycle.is_ready() && lifecycle.resume());
     assert!(lifecycle.drain());
     let since = lifecycle.draining_since();
     assert!(since.is_some() && lifecycle.drain());
-    assert_eq!(lifecycle.draining_since(), since, "the first call counts");
+    assert_eq!(lifecycle.draining_since(), since, "the first drain sets the time");
     assert!(lifecycle.resume());
     assert_eq!((lifecycle.state(), lifecycle.draining_since()), (State::Ready, None));
     lifecycle.drain();
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_drain_that_is_undone_while_starting_leads_back_to_starting() {
+fn a_drain_undone_during_the_start_returns_to_starting() {
     let lifecycle = Lifecycle::new(Duration::from_secs(1));
     lifecycle.drain();
     assert!(!lifecycle.resume());
--- a/crates/runtime/tests/shutdown.rs
+++ b/crates/runtime/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The phases of a shutdown, all derived from the time at which SIGKILL may come.
+//! The phases of a shutdown, which are all derived from the time at which SIGKILL may be sent.
 
 use curlewhub_runtime::shutdown::{Phase, ShutdownDeadline};
 use std::time::Duration;
@@ -18,7 +18,7 @@
 fn the_phases_are_derived_from_the_longest_deadline() {
     assert_eq!(times(3000, true), [0, 2500, 3450, 3600, 3700]);
     assert_eq!(times(3000, false), [0, 500, 3450, 3600, 3700]);
-    assert_eq!(times(20_000, true), times(3000, true), "a longer deadline counts as 3 s");
+    assert_eq!(times(20_000, true), times(3000, true), "a longer deadline is capped at 3 s");
     assert_eq!(times(300, false), [0, 500, 750, 900, 1000]);
 }
 
--- a/crates/runtime/tests/spares.rs
+++ b/crates/runtime/tests/spares.rs
@@ -1,4 +1,4 @@
-//! One more connection is opened for the time that requests have waited, and never for less.
+//! An additional connection to an endpoint is opened only after requests have waited there for long enough.
 
 use curlewhub_balance::EndpointId;
 use curlewhub_runtime::spares::{FIRST_PRICE, PRICE, REST, Spares};
@@ -10,12 +10,12 @@
 const OTHER: EndpointId = EndpointId(2);
 
 #[test]
-fn however_requests_wait_each_connection_is_paid_for_and_none_is_put_off() {
+fn a_connection_is_opened_as_soon_as_the_waits_add_up_to_its_price() {
     for seed in 0..20 {
-        let mut draws = Pcg32::seed_from_u64(seed);
+        let mut random = Pcg32::seed_from_u64(seed);
         let (mut spares, mut waited, mut opened) = (Spares::default(), Duration::ZERO, 0);
         for _ in 0..1000 {
-            let wait = REST.mul_f64(draws.random());
+            let wait = REST.mul_f64(random.random());
             waited += wait;
             opened += u32::from(spares.waits(ONE, wait));
             let price = |count: u32| match count {
@@ -23,28 +23,28 @@
                 _ => FIRST_PRICE + PRICE * (count - 1),
             };
             assert!(waited >= price(opened), "seed {seed}: {opened} for {waited:?}");
-            // Of each price no more than the last wait is over, and lost.
+            // For each connection, what the last wait exceeded the price by is lost: less than one `REST`.
             assert!(waited < price(opened + 1) + REST * opened, "seed {seed}: {opened} for {waited:?}");
         }
     }
 }
 
 #[test]
-fn nine_whole_rests_are_not_enough_for_the_first_and_two_are_for_each_further_one() {
+fn the_first_connection_takes_ten_waits_of_a_full_rest_and_each_further_one_two() {
     let mut spares = Spares::default();
-    let worth: Vec<usize> = (1..=16).filter(|_| spares.waits(ONE, REST)).collect();
-    assert_eq!(worth, [10, 12, 14, 16]);
+    let opened_at: Vec<usize> = (1..=16).filter(|_| spares.waits(ONE, REST)).collect();
+    assert_eq!(opened_at, [10, 12, 14, 16]);
 }
 
 #[test]
-fn endpoints_are_counted_apart_and_one_that_is_left_is_forgotten() {
+fn waits_are_counted_per_endpoint_and_reset_when_it_is_forgotten() {
     let mut spares = Spares::default();
-    let almost = FIRST_PRICE - Duration::from_millis(1);
-    assert!(!spares.waits(ONE, almost) && !spares.waits(OTHER, almost));
+    let just_below = FIRST_PRICE - Duration::from_millis(1);
+    assert!(!spares.waits(ONE, just_below) && !spares.waits(OTHER, just_below));
     spares.forget(ONE);
     assert_eq!(spares.len(), 1);
-    assert!(!spares.waits(ONE, almost));
-    assert!(spares.waits(OTHER, almost));
+    assert!(!spares.waits(ONE, just_below));
+    assert!(spares.waits(OTHER, just_below));
     spares.forget(ONE);
     spares.forget(OTHER);
     assert!(spares.is_empty());
