--- a/crates/connection-quota/src/lib.rs
+++ b/crates/connection-quota/src/lib.rs
@@ -15,9 +15,10 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Connects of all sidecars that may be pending at one endpoint at once, where each keeps to its fraction: a handshake
-/// costs the endpoint up to some 8 ms of work, and this many keep one core busy for half a second.
-pub const MAX_CONNECTING: u32 = 64;
+/// The maximum number of connects that all sidecars together may have pending at one endpoint, if each keeps to its
+/// fraction. A handshake costs the endpoint up to about 8 ms of CPU time, so this many keep one core busy for half a
+/// second.
+pub const MAX_PENDING_CONNECTS: u32 = 64;
 /// The maximum wait after the first refusal by a full endpoint; it doubles with each consecutive refusal, up to
 /// [`MAX_BACKOFF`].
 pub const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
@@ -30,26 +31,26 @@
 pub struct QuotaSettings {
     /// Sidecars that may use each endpoint, this one included; 0 counts as 1.
     pub sidecars: u32,
-    /// Connections that an endpoint accepts in all, if known.
-    pub accepts: Option<u32>,
+    /// The number of connections that an endpoint accepts from all sidecars together, if known.
+    pub endpoint_limit: Option<u32>,
 }
 
 impl QuotaSettings {
     /// The connections that this sidecar may hold to one endpoint: its fraction, and at least one.
     pub fn max_established(&self) -> u32 {
-        self.accepts.map_or(u32::MAX, |accepts| (accepts / self.sidecars.max(1)).max(1))
+        self.endpoint_limit.map_or(u32::MAX, |limit| (limit / self.sidecars.max(1)).max(1))
     }
 
     /// The connects that this sidecar may have pending at one endpoint.
     pub fn max_pending(&self) -> u32 {
-        (MAX_CONNECTING / self.sidecars.max(1)).max(1)
+        (MAX_PENDING_CONNECTS / self.sidecars.max(1)).max(1)
     }
 
-    /// How long to keep an idle connection that could be kept for `max_idle`: shorter where the endpoint accepts fewer
+    /// How long to keep an idle connection, at most `max_idle`. The timeout is shorter if the endpoint accepts fewer
     /// connections than there are sidecars, so that all of them get one in turn.
-    pub fn kept(&self, max_idle: Duration) -> Duration {
-        let Some(accepts) = self.accepts else { return max_idle };
-        let fraction = f64::from(accepts) / f64::from(self.sidecars.max(1));
+    pub fn idle_timeout(&self, max_idle: Duration) -> Duration {
+        let Some(limit) = self.endpoint_limit else { return max_idle };
+        let fraction = f64::from(limit) / f64::from(self.sidecars.max(1));
         max_idle.mul_f64(fraction.min(1.0))
     }
 }
@@ -57,11 +58,11 @@
 /// Whether a connection may be opened now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Yes; it counts from now on, and the caller must report how it ends.
+    /// Yes. The connection is counted from now on, and the caller must report how the connect ends.
     Open,
     /// Not before a pending connect has succeeded or failed, or a connection has become idle.
     Wait,
-    /// No: the sidecar holds all that it may, or the endpoint was full a moment ago.
+    /// No: the sidecar has reached its limit, or the endpoint refused a connect as full and the backoff still runs.
     Full,
 }
 
@@ -111,28 +112,28 @@
     settings: QuotaSettings,
     rng: Pcg32,
     endpoints: HashMap<u64, Connections>,
-    refused_full: u64,
+    full_refusals: u64,
 }
 
 impl ConnectionQuota {
     /// A quota with no connections yet. The seed is for the jitter of backoffs.
     pub fn new(settings: QuotaSettings, seed: u64) -> Self {
         let (endpoints, rng) = (HashMap::new(), Pcg32::seed_from_u64(seed));
-        ConnectionQuota { settings, rng, endpoints, refused_full: 0 }
+        ConnectionQuota { settings, rng, endpoints, full_refusals: 0 }
     }
 
-    /// The settings that it was made with.
-    pub fn terms(&self) -> QuotaSettings {
+    /// Returns the settings that the quota was created with.
+    pub fn settings(&self) -> QuotaSettings {
         self.settings
     }
 
-    /// Asks to open a connection, and counts it as pending if the answer is [`Admission::Open`].
-    pub fn ask(&mut self, now: Duration, endpoint: u64) -> Admission {
+    /// Decides whether a connection may be opened, and counts it as pending if the result is [`Admission::Open`].
+    pub fn admit(&mut self, now: Duration, endpoint: u64) -> Admission {
         let settings = self.settings;
         let connections = self.endpoints.entry(endpoint).or_default();
         let limit = settings.max_established().min(connections.learned_limit_at(now).max(1));
         if connections.total() >= limit {
-            // A pending connect may still fail and make way for this one.
+            // A pending connect may still fail, which leaves its place to this one.
             return if connections.pending > 0 { Admission::Wait } else { Admission::Full };
         }
         if connections.pending >= settings.max_pending() {
@@ -143,7 +144,7 @@
     }
 
     /// A connect succeeded.
-    pub fn opened(&mut self, endpoint: u64) {
+    pub fn connect_succeeded(&mut self, endpoint: u64) {
         let Some(connections) = self.endpoints.get_mut(&endpoint) else { return };
         connections.pending = connections.pending.saturating_sub(1);
         connections.established += 1;
@@ -154,7 +155,7 @@
     }
 
     /// A connect was refused; returns what that says about the endpoint.
-    pub fn refused(&mut self, now: Duration, endpoint: u64) -> Refusal {
+    pub fn connect_refused(&mut self, now: Duration, endpoint: u64) -> Refusal {
         let Some(connections) = self.endpoints.get_mut(&endpoint) else { return Refusal::Unknown };
         connections.pending = connections.pending.saturating_sub(1);
         if connections.established == 0 {
@@ -165,12 +166,12 @@
         connections.refusals = connections.refusals.saturating_add(1);
         connections.learned_limit = Some(connections.established);
         connections.retry_at = now + backoff.mul_f64(self.rng.random::<f64>());
-        self.refused_full += 1;
+        self.full_refusals += 1;
         Refusal::Full
     }
 
     /// A connect failed in another way, or was abandoned: that says nothing about the endpoint's limit.
-    pub fn given_up(&mut self, endpoint: u64) {
+    pub fn connect_failed(&mut self, endpoint: u64) {
         if let Some(connections) = self.endpoints.get_mut(&endpoint) {
             connections.pending = connections.pending.saturating_sub(1);
         }
@@ -178,7 +179,7 @@
     }
 
     /// An established connection has ended.
-    pub fn closed(&mut self, endpoint: u64) {
+    pub fn connection_closed(&mut self, endpoint: u64) {
         if let Some(connections) = self.endpoints.get_mut(&endpoint) {
             connections.established = connections.established.saturating_sub(1);
         }
@@ -196,8 +197,8 @@
     }
 
     /// The number of connects that full endpoints have refused.
-    pub fn full(&self) -> u64 {
-        self.refused_full
+    pub fn full_refusals(&self) -> u64 {
+        self.full_refusals
     }
 
     /// Forgets an endpoint without connections, and its learned limit: it may have restarted with no connections.
--- a/crates/curlewhub/src/serve.rs
+++ b/crates/curlewhub/src/serve.rs
@@ -8,7 +8,7 @@
 use crate::reload::Reloader;
 use curlewhub_balance::Balancer;
 use curlewhub_config::{Config, Loaded};
-use curlewhub_connection_quota::Terms;
+use curlewhub_connection_quota::QuotaSettings;
 use curlewhub_runtime::budget::Budget;
 use curlewhub_runtime::clock::Clock;
 use curlewhub_runtime::discovery::Discovery;
@@ -321,7 +321,8 @@
 }
 
 fn new_outbound(config: &Config, budget: &Rc<Budget>, figures: &Rc<Figures>) -> Rc<Outbound> {
-    let terms = Terms { sidecars: config.settings.balancers, accepts: config.endpoint_connections };
+    let terms =
+        QuotaSettings { sidecars: config.settings.balancers, endpoint_limit: config.endpoint_connections };
     let slots = Slots::new(terms, config.seed);
     Outbound::new(&config.settings, budget.clone(), slots, figures.clone())
 }
--- a/crates/runtime/src/outbound.rs
+++ b/crates/runtime/src/outbound.rs
@@ -15,7 +15,7 @@
 use super::time_left::MAX_WRITE_DELAY;
 use super::write_gate::WriteGate;
 use curlewhub_balance::{EndpointId, Outcome, Settings};
-use curlewhub_connection_quota::{Leave, Refusal};
+use curlewhub_connection_quota::{Admission, Refusal};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -470,9 +470,9 @@
     }
 
     async fn connect(&self, endpoint: EndpointId, address: SocketAddr) -> Result<Link, NoLink> {
-        let slot = self.slots.take(endpoint).await.map_err(|leave| match leave {
-            Leave::Full => NoLink::Ends(Outcome::Full),
-            Leave::Open | Leave::Wait => NoLink::LookAgain,
+        let slot = self.slots.take(endpoint).await.map_err(|admission| match admission {
+            Admission::Full => NoLink::Ends(Outcome::Full),
+            Admission::Open | Admission::Wait => NoLink::LookAgain,
         })?;
         let permit = loop {
             match self.budget.take(Holder::Endpoint) {
--- a/crates/runtime/src/slots.rs
+++ b/crates/runtime/src/slots.rs
@@ -1,7 +1,7 @@
 //! Leave to open connections to endpoints: each that is up or on its way holds a slot.
 
 use curlewhub_balance::EndpointId;
-use curlewhub_connection_quota::{Leave, Links, Refusal, Terms};
+use curlewhub_connection_quota::{Admission, ConnectionQuota, QuotaSettings, Refusal};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 /// The slots of all endpoints.
 pub struct Slots {
-    links: RefCell<Links>,
+    quota: RefCell<ConnectionQuota>,
     since: Instant,
     changed: Notify,
 }
@@ -31,27 +31,27 @@
 
 impl Slots {
     /// No connections yet.
-    pub fn new(terms: Terms, seed: u64) -> Rc<Self> {
-        let (links, changed) = (RefCell::new(Links::new(terms, seed)), Notify::new());
-        Rc::new(Slots { links, since: Instant::now(), changed })
+    pub fn new(settings: QuotaSettings, seed: u64) -> Rc<Self> {
+        let (quota, changed) = (RefCell::new(ConnectionQuota::new(settings, seed)), Notify::new());
+        Rc::new(Slots { quota, since: Instant::now(), changed })
     }
 
     /// A slot for a new connection; none where all that may be are up, or the endpoint took no more just now.
     /// Waits, where others are on their way, for one of these to come up, fail or come free: then there may be
     /// an idle connection as well, so who asked looks there again.
-    pub async fn take(self: &Rc<Self>, endpoint: EndpointId) -> Result<Slot, Leave> {
+    pub async fn take(self: &Rc<Self>, endpoint: EndpointId) -> Result<Slot, Admission> {
         let taken = self.try_take(endpoint);
-        if matches!(taken, Err(Leave::Wait)) {
+        if matches!(taken, Err(Admission::Wait)) {
             self.changed.notified().await;
         }
         taken
     }
 
     /// The same without a wait.
-    pub fn try_take(self: &Rc<Self>, endpoint: EndpointId) -> Result<Slot, Leave> {
-        match self.links.borrow_mut().ask(self.since.elapsed(), endpoint.0) {
-            Leave::Open => Ok(Slot { slots: self.clone(), endpoint, stage: Cell::new(Stage::Opening) }),
-            leave @ (Leave::Wait | Leave::Full) => Err(leave),
+    pub fn try_take(self: &Rc<Self>, endpoint: EndpointId) -> Result<Slot, Admission> {
+        match self.quota.borrow_mut().admit(self.since.elapsed(), endpoint.0) {
+            Admission::Open => Ok(Slot { slots: self.clone(), endpoint, stage: Cell::new(Stage::Opening) }),
+            refused @ (Admission::Wait | Admission::Full) => Err(refused),
         }
     }
 
@@ -62,12 +62,12 @@
 
     /// How long an idle connection is kept that could be kept for so long.
     pub fn kept(&self, most: Duration) -> Duration {
-        self.links.borrow().terms().kept(most)
+        self.quota.borrow().settings().idle_timeout(most)
     }
 
     /// Connects that endpoints with full tables have refused.
     pub fn full(&self) -> u64 {
-        self.links.borrow().full()
+        self.quota.borrow().full_refusals()
     }
 }
 
@@ -75,7 +75,7 @@
     /// Its connection is up.
     pub fn up(&self) {
         if self.stage.replace(Stage::Up) == Stage::Opening {
-            self.slots.links.borrow_mut().opened(self.endpoint.0);
+            self.slots.quota.borrow_mut().connect_succeeded(self.endpoint.0);
             self.slots.freed();
         }
     }
@@ -84,7 +84,7 @@
     pub fn refused(self) -> Refusal {
         self.stage.set(Stage::Refused);
         let slots = &self.slots;
-        slots.links.borrow_mut().refused(slots.since.elapsed(), self.endpoint.0)
+        slots.quota.borrow_mut().connect_refused(slots.since.elapsed(), self.endpoint.0)
     }
 }
 
@@ -92,8 +92,8 @@
     fn drop(&mut self) {
         let endpoint = self.endpoint.0;
         match self.stage.get() {
-            Stage::Opening => self.slots.links.borrow_mut().given_up(endpoint),
-            Stage::Up => self.slots.links.borrow_mut().closed(endpoint),
+            Stage::Opening => self.slots.quota.borrow_mut().connect_failed(endpoint),
+            Stage::Up => self.slots.quota.borrow_mut().connection_closed(endpoint),
             Stage::Refused => {}
         }
         self.slots.freed();
--- a/crates/runtime/src/spares.rs
+++ b/crates/runtime/src/spares.rs
@@ -16,7 +16,8 @@
 /// caller's short burst, which is over by the time that the connection is up.
 pub const FIRST_PRICE: Duration = Duration::from_millis(50);
 /// What they wait before each further one: as much as a handshake costs an endpoint at the most (see
-/// `curlewhub_connection_quota::CONNECTS_MOST`). So handshakes never cost more work than they follow waits.
+/// `curlewhub_connection_quota::MAX_PENDING_CONNECTS`). So handshakes never cost more work than they follow
+/// waits.
 pub const PRICE: Duration = Duration::from_millis(8);
 
 /// What requests have waited for resting connections, by endpoint. It has an entry for an endpoint that is listed, and
