--- a/crates/model/src/process.rs
+++ b/crates/model/src/process.rs
@@ -3,7 +3,7 @@
 use crate::decider::Decider;
 use curlewhub_balance::AttemptNo;
 use curlewhub_keys::KeyTable;
-use curlewhub_overlap_quota::{Need, Shares};
+use curlewhub_overlap_quota::{Demand, OverlapQuota};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
@@ -45,8 +45,8 @@
     pub(crate) open: BTreeMap<u64, Open>,
     /// Idle connections by endpoint, and when one was last used.
     idle: HashMap<usize, (u32, Duration)>,
-    pub(crate) shares: Shares,
-    pub(crate) need: Need,
+    pub(crate) shares: OverlapQuota,
+    pub(crate) need: Demand,
     /// Where keyed jobs may have run; used where that is lost with the process.
     pub(crate) keys: KeyTable,
 }
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -20,7 +20,7 @@
 };
 use curlewhub_config::Repeat;
 use curlewhub_keys::{Entry, KeyTable};
-use curlewhub_overlap_quota::LOOK_EVERY;
+use curlewhub_overlap_quota::SAMPLE_INTERVAL;
 use curlewhub_standins::machine::{Happened, Machine, Offered};
 use rand::Rng;
 use rand_pcg::Pcg32;
--- a/crates/model/src/world/callers.rs
+++ b/crates/model/src/world/callers.rs
@@ -45,7 +45,7 @@
         let (until, tries_out) = (self.now + within, Vec::new());
         host.open
             .insert(request, Open { call: id, answered: false, noted: false, until, tries: tries_out });
-        host.need.came();
+        host.need.record_arrival();
         self.queue.plan(self.now + time, Ev::GivesUp { call: id, tries });
         let now = self.now;
         let known = self.memory(process).find(now, id).copied();
--- a/crates/model/src/world/processes.rs
+++ b/crates/model/src/world/processes.rs
@@ -14,8 +14,8 @@
         let new = self.start_process(sidecar, generation);
         self.sidecars[sidecar].push(new);
         if spec.carry.shares && !spec.killed && self.processes[new].decider.shares() {
-            self.processes[old].shares.successor(new as u64);
-            self.processes[new].shares.predecessor(old as u64);
+            self.processes[old].shares.add_successor(new as u64);
+            self.processes[new].shares.add_predecessor(old as u64);
             self.processes[new].decider.holds_nothing(self.now);
             self.queue.plan(self.now, Ev::Shares { old, new });
         }
@@ -71,8 +71,8 @@
         }
         for other in self.sidecars[sidecar].clone() {
             let ending = !self.processes[other].accepts;
-            if self.processes[other].shares.gone(process as u64, ending) > 0 {
-                let share = self.processes[other].shares.share();
+            if self.processes[other].shares.remove_neighbour(process as u64, ending) > 0 {
+                let share = self.processes[other].shares.fraction();
                 let actions = self.processes[other].decider.gains(self.now, share, None);
                 self.settle(other, actions);
             }
@@ -86,24 +86,24 @@
         }
         let needs = [old, new].map(|process| {
             let host = &mut self.processes[process];
-            host.need.look(host.open.len())
+            host.need.sample(host.open.len())
         });
         for (from, to, need) in [(old, new, needs[0]), (new, old, needs[1])] {
-            if self.processes[to].shares.needs(from as u64, need).is_err() {
+            if self.processes[to].shares.set_demand(from as u64, need).is_err() {
                 return;
             }
         }
         for (from, to, need) in [(old, new, needs[0]), (new, old, needs[1])] {
-            let Some(parts) = self.processes[from].shares.gives(to as u64, need) else { continue };
-            let share = self.processes[from].shares.share();
+            let Some(parts) = self.processes[from].shares.give(to as u64, need) else { continue };
+            let share = self.processes[from].shares.fraction();
             let portion = self.processes[from].decider.gives(self.now, share);
-            if self.processes[to].shares.gets(from as u64, parts).is_ok() {
-                let share = self.processes[to].shares.share();
+            if self.processes[to].shares.receive(from as u64, parts).is_ok() {
+                let share = self.processes[to].shares.fraction();
                 let actions = self.processes[to].decider.gains(self.now, share, portion.as_ref());
                 self.settle(to, actions);
             }
         }
-        self.queue.plan(self.now + LOOK_EVERY, Ev::Shares { old, new });
+        self.queue.plan(self.now + SAMPLE_INTERVAL, Ev::Shares { old, new });
     }
 }
 
--- a/crates/overlap-quota/src/lib.rs
+++ b/crates/overlap-quota/src/lib.rs
@@ -6,8 +6,9 @@
 //! away. A part is deducted from the giver before it is sent, so two processes never hold more than all parts together,
 //! whatever is late or lost. When one process has ended, the other takes over what it held.
 //!
-//! In a row of three (a successor has a successor) the process in the middle passes parts on. If it is killed, the two
-//! others do not know of each other: a process that is ending then takes nothing back, see [`OverlapQuota::gone`].
+//! In a chain of three processes (a successor has a successor) the one in the middle passes parts on. If it is killed, the
+//! two others do not know of each other: a process that is ending then takes nothing back, see
+//! [`OverlapQuota::remove_neighbour`].
 
 #![warn(clippy::too_many_lines)]
 
@@ -15,9 +16,10 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// All that one sidecar may use. Fine enough that a sixteenth of the calls is not rounded away.
+/// The number of parts that the whole quota of a sidecar is divided into. Fine enough that a sixteenth of the calls is not
+/// rounded away.
 pub const TOTAL_PARTS: u32 = 64;
-/// What a process keeps while it runs, whatever its demand: a sixteenth, so that a first call is not turned down.
+/// The minimum that a running process keeps, whatever its demand: a sixteenth, so that its first call is not rejected.
 pub const MIN_PARTS: u32 = 4;
 /// The minimum transfer, as demand changes with every call and a message for each change would be too many.
 pub const MIN_TRANSFER: u32 = 4;
@@ -28,7 +30,7 @@
 /// Requests that arrived within this many samples count as demand: half a second of them.
 const DEMAND_SAMPLES: usize = 25;
 
-/// What a process needs: its open requests, and those that arrived recently.
+/// Measures the demand of a process: its open requests, and those that arrived recently.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
     /// Arrivals by sample, oldest first; the last one is still being counted.
@@ -36,15 +38,15 @@
 }
 
 impl Demand {
-    /// Counts a request that has arrived. Counting begins with the first sample.
-    pub fn came(&mut self) {
+    /// Counts a request that has arrived. Arrivals before the first sample are not counted.
+    pub fn record_arrival(&mut self) {
         if let Some(current) = self.arrivals.back_mut() {
             *current += 1;
         }
     }
 
     /// Takes a sample, once in [`SAMPLE_INTERVAL`], and returns the demand with this many open requests.
-    pub fn look(&mut self, open_requests: usize) -> u32 {
+    pub fn sample(&mut self, open_requests: usize) -> u32 {
         let open_requests = u32::try_from(open_requests).unwrap_or(u32::MAX);
         let demand = open_requests.saturating_add(self.arrivals.iter().sum());
         self.arrivals.push_back(0);
@@ -64,7 +66,7 @@
     demand: Option<u32>,
 }
 
-/// A message of a neighbour that can't be true.
+/// A message from a neighbour that contradicts what this process knows.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum QuotaError {
     /// It gave more than it held.
@@ -96,17 +98,17 @@
 
 impl OverlapQuota {
     /// Parts that this process holds, 0 to [`TOTAL_PARTS`].
-    pub fn own(&self) -> u32 {
+    pub fn own_parts(&self) -> u32 {
         self.own
     }
 
     /// The fraction of all parts that this process holds, 0 to 1.
-    pub fn share(&self) -> f64 {
+    pub fn fraction(&self) -> f64 {
         f64::from(self.own) / f64::from(TOTAL_PARTS)
     }
 
     /// Whether this process has a neighbour.
-    pub fn beside(&self) -> bool {
+    pub fn has_neighbours(&self) -> bool {
         !self.neighbours.is_empty()
     }
 
@@ -116,30 +118,30 @@
     }
 
     /// Adds a successor. It holds nothing yet.
-    pub fn successor(&mut self, link: u64) {
+    pub fn add_successor(&mut self, link: u64) {
         self.neighbours.insert(link, Neighbour { parts: 0, demand: None });
     }
 
     /// Adds a predecessor, which still serves: it holds all that this process holds now.
-    pub fn predecessor(&mut self, link: u64) {
+    pub fn add_predecessor(&mut self, link: u64) {
         let parts = std::mem::take(&mut self.own);
         self.neighbours.insert(link, Neighbour { parts, demand: None });
     }
 
-    /// A neighbour reports its demand: open requests and recent arrivals, in any unit that both use.
+    /// Records the demand that a neighbour has reported: open requests and recent arrivals, in any unit that both use.
     ///
     /// # Errors
     /// It is no neighbour.
-    pub fn needs(&mut self, link: u64, demand: u32) -> Result<(), QuotaError> {
+    pub fn set_demand(&mut self, link: u64, demand: u32) -> Result<(), QuotaError> {
         self.neighbours.get_mut(&link).ok_or(QuotaError::Unknown)?.demand = Some(demand);
         Ok(())
     }
 
-    /// A neighbour has given parts to this process.
+    /// Takes parts that a neighbour has given to this process.
     ///
     /// # Errors
     /// It is no neighbour, or does not hold so many; then nothing changes.
-    pub fn gets(&mut self, link: u64, given: u32) -> Result<(), QuotaError> {
+    pub fn receive(&mut self, link: u64, given: u32) -> Result<(), QuotaError> {
         let neighbour = self.neighbours.get_mut(&link).ok_or(QuotaError::Unknown)?;
         let held = neighbour.parts;
         neighbour.parts = held.checked_sub(given).ok_or(QuotaError::TooMany { given, held })?;
@@ -147,9 +149,10 @@
         Ok(())
     }
 
-    /// Gives parts to a neighbour, by this process's demand and the neighbour's, and returns how many. None if there is less
-    /// to give than [`MIN_TRANSFER`], or if the neighbour has never reported a demand: its version may not know of parts.
-    pub fn gives(&mut self, link: u64, own_demand: u32) -> Option<u32> {
+    /// Gives parts to a neighbour in proportion to the demands of both, and returns how many. Returns `None` if there is
+    /// less to give than [`MIN_TRANSFER`], or if the neighbour has never reported a demand, as its version may not know of
+    /// parts.
+    pub fn give(&mut self, link: u64, own_demand: u32) -> Option<u32> {
         let neighbour = self.neighbours.get_mut(&link)?;
         let other_demand = f64::from(neighbour.demand?);
         let total = self.own + neighbour.parts;
@@ -172,9 +175,9 @@
 
     /// Removes a neighbour that has ended and takes its parts over. Returns how many came back.
     ///
-    /// None come back if this process is `ending` and holds some itself: it sends next to nothing any more, while the
-    /// neighbour may have passed parts on to a process that now takes over those of this process.
-    pub fn gone(&mut self, link: u64, ending: bool) -> u32 {
+    /// None come back if this process is `ending` and holds at least [`MIN_PARTS`] itself: it sends next to nothing any
+    /// more, while the neighbour may have passed parts on to a process that now takes over those of this process.
+    pub fn remove_neighbour(&mut self, link: u64, ending: bool) -> u32 {
         let Some(neighbour) = self.neighbours.remove(&link) else { return 0 };
         let returned = if ending && self.own >= MIN_PARTS { 0 } else { neighbour.parts };
         self.own += returned;
--- a/crates/overlap-quota/tests/quota.rs
+++ b/crates/overlap-quota/tests/quota.rs
@@ -1,4 +1,4 @@
-//! The parts that two processes hold, for any order of messages and any loss.
+//! Quota parts held by the processes of one sidecar during a handover, for any order and any loss of messages.
 
 use curlewhub_overlap_quota::{Demand, MIN_PARTS, OverlapQuota, QuotaError, TOTAL_PARTS};
 use proptest::prelude::*;
@@ -20,15 +20,15 @@
 impl Pair {
     fn new() -> Pair {
         let mut quotas = [OverlapQuota::default(), OverlapQuota::default()];
-        quotas[0].successor(1);
-        quotas[1].predecessor(0);
+        quotas[0].add_successor(1);
+        quotas[1].add_predecessor(0);
         Pair { quotas, in_flight: Default::default() }
     }
 
     /// Has a process report its demand and give parts away, as it does at intervals.
     fn tick(&mut self, from: usize, demand: u32) {
         self.in_flight[from].push_back(Message::Demand(demand));
-        if let Some(parts) = self.quotas[from].gives(1 - from as u64, demand) {
+        if let Some(parts) = self.quotas[from].give(1 - from as u64, demand) {
             self.in_flight[from].push_back(Message::Give(parts));
         }
     }
@@ -37,8 +37,8 @@
     fn deliver(&mut self, from: usize) {
         let (to, link) = (1 - from, from as u64);
         match self.in_flight[from].pop_front() {
-            Some(Message::Demand(demand)) => self.quotas[to].needs(link, demand).unwrap(),
-            Some(Message::Give(parts)) => self.quotas[to].gets(link, parts).unwrap(),
+            Some(Message::Demand(demand)) => self.quotas[to].set_demand(link, demand).unwrap(),
+            Some(Message::Give(parts)) => self.quotas[to].receive(link, parts).unwrap(),
             None => {}
         }
     }
@@ -49,7 +49,7 @@
     }
 
     fn own(&self) -> [u32; 2] {
-        [self.quotas[0].own(), self.quotas[1].own()]
+        [self.quotas[0].own_parts(), self.quotas[1].own_parts()]
     }
 
     /// Has both processes tick and delivers all messages, for so many rounds.
@@ -73,28 +73,28 @@
     assert_eq!(pair.own(), [TOTAL_PARTS / 2, TOTAL_PARTS / 2]);
     pair.run([0, 100], 2);
     assert_eq!(pair.own(), [MIN_PARTS, TOTAL_PARTS - MIN_PARTS]);
-    assert_eq!(pair.quotas[1].gone(0, false), MIN_PARTS);
-    assert_eq!(pair.quotas[1].own(), TOTAL_PARTS);
-    assert!(!pair.quotas[1].beside());
+    assert_eq!(pair.quotas[1].remove_neighbour(0, false), MIN_PARTS);
+    assert_eq!(pair.quotas[1].own_parts(), TOTAL_PARTS);
+    assert!(!pair.quotas[1].has_neighbours());
 }
 
 #[test]
 fn demand_is_open_requests_and_arrivals_within_half_a_second() {
     let mut demand = Demand::default();
-    demand.came();
-    assert_eq!(demand.look(3), 3, "nothing is counted before the first sample");
-    (0..5).for_each(|_| demand.came());
-    assert_eq!(demand.look(2), 7);
-    let later: Vec<u32> = (0..30).map(|_| demand.look(0)).collect();
+    demand.record_arrival();
+    assert_eq!(demand.sample(3), 3, "nothing is counted before the first sample");
+    (0..5).for_each(|_| demand.record_arrival());
+    assert_eq!(demand.sample(2), 7);
+    let later: Vec<u32> = (0..30).map(|_| demand.sample(0)).collect();
     assert_eq!((later[0], later[23], later[24], later[29]), (5, 5, 0, 0));
 }
 
 #[test]
 fn a_neighbour_that_never_reports_its_demand_is_given_nothing() {
     let mut predecessor = OverlapQuota::default();
-    predecessor.successor(1);
-    assert_eq!(predecessor.gives(1, 0), None);
-    assert_eq!(predecessor.share(), 1.0);
+    predecessor.add_successor(1);
+    assert_eq!(predecessor.give(1, 0), None);
+    assert_eq!(predecessor.fraction(), 1.0);
 }
 
 #[test]
@@ -102,35 +102,35 @@
     let mut pair = Pair::new();
     pair.run([1, 1], 1);
     let held = pair.own();
-    let rejected = pair.quotas[0].gets(1, TOTAL_PARTS);
+    let rejected = pair.quotas[0].receive(1, TOTAL_PARTS);
     assert_eq!(rejected, Err(QuotaError::TooMany { given: TOTAL_PARTS, held: held[1] }));
-    assert_eq!(pair.quotas[0].gets(7, 1), Err(QuotaError::Unknown));
-    assert_eq!(pair.quotas[0].needs(7, 1), Err(QuotaError::Unknown));
+    assert_eq!(pair.quotas[0].receive(7, 1), Err(QuotaError::Unknown));
+    assert_eq!(pair.quotas[0].set_demand(7, 1), Err(QuotaError::Unknown));
     assert_eq!(pair.own(), held);
 }
 
 #[test]
-fn in_a_row_of_three_the_middle_process_passes_parts_on_and_an_ending_one_takes_none_back() {
+fn in_a_chain_of_three_the_middle_process_passes_parts_on_and_an_ending_one_takes_none_back() {
     // Link 0 is between the old and the middle process, link 1 between the middle and the new one.
     let (mut old, mut middle, mut new) =
         (OverlapQuota::default(), OverlapQuota::default(), OverlapQuota::default());
-    old.successor(0);
-    middle.predecessor(0);
-    middle.needs(0, 10).unwrap();
-    old.needs(0, 100).unwrap();
-    let given = old.gives(0, 0).unwrap();
-    middle.gets(0, given).unwrap();
-    middle.successor(1);
-    new.predecessor(1);
-    middle.needs(1, 100).unwrap();
-    let passed = middle.gives(1, 0).unwrap();
-    new.gets(1, passed).unwrap();
-    assert_eq!(old.own() + middle.own() + new.own(), TOTAL_PARTS);
+    old.add_successor(0);
+    middle.add_predecessor(0);
+    middle.set_demand(0, 10).unwrap();
+    old.set_demand(0, 100).unwrap();
+    let given = old.give(0, 0).unwrap();
+    middle.receive(0, given).unwrap();
+    middle.add_successor(1);
+    new.add_predecessor(1);
+    middle.set_demand(1, 100).unwrap();
+    let passed = middle.give(1, 0).unwrap();
+    new.receive(1, passed).unwrap();
+    assert_eq!(old.own_parts() + middle.own_parts() + new.own_parts(), TOTAL_PARTS);
     // The middle process is killed while the old one drains.
-    old.gone(0, true);
-    new.gone(1, false);
+    old.remove_neighbour(0, true);
+    new.remove_neighbour(1, false);
     assert_eq!(
-        (old.own(), new.own()),
+        (old.own_parts(), new.own_parts()),
         (MIN_PARTS, TOTAL_PARTS),
         "at most the minimum that an ending process keeps is held twice"
     );
@@ -153,8 +153,8 @@
         while !lost && !pair.in_flight[1 - survivor].is_empty() {
             pair.deliver(1 - survivor);
         }
-        pair.quotas[survivor].gone(1 - survivor as u64, false);
-        prop_assert_eq!(pair.quotas[survivor].own(), TOTAL_PARTS);
+        pair.quotas[survivor].remove_neighbour(1 - survivor as u64, false);
+        prop_assert_eq!(pair.quotas[survivor].own_parts(), TOTAL_PARTS);
     }
 
     #[test]
--- a/crates/runtime/src/handover/overlap.rs
+++ b/crates/runtime/src/handover/overlap.rs
@@ -102,11 +102,11 @@
         access: &mut BalancerAccess<'_>,
     ) {
         let state = if is_predecessor {
-            self.quota.predecessor(link);
+            self.quota.add_predecessor(link);
             access.balancer.holds_nothing(access.now);
             PeerState::AwaitingPredecessor
         } else {
-            self.quota.successor(link);
+            self.quota.add_successor(link);
             PeerState::AwaitingSuccessor
         };
         let last_message_at = Instant::now();
@@ -131,12 +131,12 @@
             }
         }
         let accepted = match message {
-            OverlapMessage::Demand(demand) => self.quota.needs(link, demand),
-            OverlapMessage::Parts(parts, _) => self.quota.gets(link, parts),
+            OverlapMessage::Demand(demand) => self.quota.set_demand(link, demand),
+            OverlapMessage::Parts(parts, _) => self.quota.receive(link, parts),
         };
         match (accepted, message) {
             (Ok(()), OverlapMessage::Parts(_, portion)) => {
-                access.balancer.gains(access.now, self.quota.share(), Some(&portion), access.actions)
+                access.balancer.gains(access.now, self.quota.fraction(), Some(&portion), access.actions)
             }
             (Ok(()), OverlapMessage::Demand(_)) => {}
             (Err(error), _) => warn!(link, %error, "sharing: message rejected"),
@@ -147,15 +147,15 @@
     pub fn peer_disconnected(&mut self, link: u64, ending: bool, access: &mut BalancerAccess<'_>) {
         self.connected.remove(&link);
         self.remove_peer(link, ending, access);
-        info!(parts = self.quota.own(), "sharing: other process disconnected");
+        info!(parts = self.quota.own_parts(), "sharing: other process disconnected");
     }
 
     /// Ends the exchange with a peer and takes its parts back.
     fn remove_peer(&mut self, link: u64, ending: bool, access: &mut BalancerAccess<'_>) {
         self.peers.remove(&link);
-        let returned = self.quota.gone(link, ending);
+        let returned = self.quota.remove_neighbour(link, ending);
         if returned > 0 {
-            access.balancer.gains(access.now, self.quota.share(), None, access.actions);
+            access.balancer.gains(access.now, self.quota.fraction(), None, access.actions);
         }
         if self.peers.is_empty() {
             self.sample_at = None;
@@ -165,7 +165,7 @@
 
     /// Counts a request that has arrived.
     pub fn request_arrived(&mut self) {
-        self.demand.came();
+        self.demand.record_arrival();
     }
 
     /// When [`Overlap::sample_if_due`] is due next; none without a peer.
@@ -180,14 +180,14 @@
             return;
         }
         self.sample_at = Some(Instant::now() + SAMPLE_INTERVAL);
-        let demand = self.demand.look(open_requests);
+        let demand = self.demand.sample(open_requests);
         for (link, peer) in &mut self.peers {
             if peer.last_report.as_ref().is_none_or(|report| report.is_outdated(demand)) {
                 peer.last_report = Some(DemandReport { demand, sent_at: Instant::now() });
                 (peer.send)(OverlapMessage::Demand(demand));
             }
-            if let Some(parts) = self.quota.gives(*link, demand) {
-                let portion = access.balancer.gives(access.now, self.quota.share());
+            if let Some(parts) = self.quota.give(*link, demand) {
+                let portion = access.balancer.gives(access.now, self.quota.fraction());
                 (peer.send)(OverlapMessage::Parts(parts, portion));
             }
         }
@@ -210,6 +210,6 @@
 
     /// Parts of the quota that this process holds.
     pub fn parts(&self) -> u32 {
-        self.quota.own()
+        self.quota.own_parts()
     }
 }
