--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -47,7 +47,7 @@
     assert_eq!(settings.discovery, Discovery::Ask);
     assert_eq!(settings.classes[0].worth, 3.0);
     let window = Duration::from_millis(400);
-    assert_eq!(settings.classes[1].semantics, Semantics::Keyed { group: Group::Cell, window });
+    assert_eq!(settings.classes[1].semantics, Semantics::Keyed { group: DeduplicationScope::Cell, window });
     assert_eq!(settings.load_reports.via, ReportVia::Probe);
     assert_eq!(settings.load_reports.fields, [LoadField::Outstanding, LoadField::Other]);
     assert_eq!(settings.weights, WeightKind::Live);
@@ -184,9 +184,9 @@
 #[test]
 fn actions_are_formatted_with_their_fields_in_protocol_order() {
     let mut names = EndpointNames::default();
-    let endpoint = names.id("10.0.0.1:80");
+    let endpoint = names.intern("10.0.0.1:80");
     let request = RequestId(1);
-    assert_eq!(format_action(3, &Action::DropTimer { token: TimerToken(77) }, "", &names), None);
+    assert_eq!(format_action(3, &Action::CancelTimer { token: TimerToken(77) }, "", &names), None);
     let format =
         |action| format_action(3, &action, "t/x", &names).expect("the protocol has a message for it");
     let timeout = Duration::from_micros(80_500);
@@ -266,9 +266,9 @@
 #[test]
 fn an_endpoint_has_the_same_id_in_every_process() {
     let (mut one, mut two) = (EndpointNames::default(), EndpointNames::default());
-    let (a, b) = (one.id("10.18.74.7:11203"), one.id("10.18.74.7:11204"));
-    two.id("10.144.17.242:11244");
-    assert_eq!((two.id("10.18.74.7:11204"), two.id("10.18.74.7:11203")), (b, a));
+    let (a, b) = (one.intern("10.18.74.7:11203"), one.intern("10.18.74.7:11204"));
+    two.intern("10.144.17.242:11244");
+    assert_eq!((two.intern("10.18.74.7:11204"), two.intern("10.18.74.7:11203")), (b, a));
     assert_ne!(a, b);
     assert_eq!(two.name(a), "10.18.74.7:11203");
 }
--- a/crates/runtime/src/handover/overlap.rs
+++ b/crates/runtime/src/handover/overlap.rs
@@ -103,7 +103,7 @@
     ) {
         let state = if is_predecessor {
             self.quota.add_predecessor(link);
-            access.balancer.holds_nothing(access.now);
+            access.balancer.begin_without_share(access.now);
             PeerState::AwaitingPredecessor
         } else {
             self.quota.add_successor(link);
@@ -135,9 +135,12 @@
             OverlapMessage::Parts(parts, _) => self.quota.receive(link, parts),
         };
         match (accepted, message) {
-            (Ok(()), OverlapMessage::Parts(_, portion)) => {
-                access.balancer.gains(access.now, self.quota.fraction(), Some(&portion), access.actions)
-            }
+            (Ok(()), OverlapMessage::Parts(_, portion)) => access.balancer.acquire_share(
+                access.now,
+                self.quota.fraction(),
+                Some(&portion),
+                access.actions,
+            ),
             (Ok(()), OverlapMessage::Demand(_)) => {}
             (Err(error), _) => warn!(link, %error, "sharing: message rejected"),
         }
@@ -155,7 +158,7 @@
         self.peers.remove(&link);
         let returned = self.quota.remove_neighbour(link, ending);
         if returned > 0 {
-            access.balancer.gains(access.now, self.quota.fraction(), None, access.actions);
+            access.balancer.acquire_share(access.now, self.quota.fraction(), None, access.actions);
         }
         if self.peers.is_empty() {
             self.sample_at = None;
@@ -187,7 +190,7 @@
                 (peer.send)(OverlapMessage::Demand(demand));
             }
             if let Some(parts) = self.quota.give(*link, demand) {
-                let portion = access.balancer.gives(access.now, self.quota.fraction());
+                let portion = access.balancer.release_share(access.now, self.quota.fraction());
                 (peer.send)(OverlapMessage::Parts(parts, portion));
             }
         }
