--- a/crates/adapter/src/fields.rs
+++ b/crates/adapter/src/fields.rs
@@ -2,7 +2,7 @@
 
 use crate::WireError;
 use curlewhub_balance::Outcome;
-use curlewhub_config::settings::{MAX_MS, duration};
+use curlewhub_config::settings::{MAX_MS, duration_from_ms};
 use std::str::{FromStr, Split};
 use std::time::Duration;
 
@@ -71,7 +71,7 @@
         if !(0.0..=MAX_MS).contains(&value) {
             return Err(self.error(field, format!("`{text}` is out of range")));
         }
-        Ok(duration(value))
+        Ok(duration_from_ms(value))
     }
 
     pub(crate) fn time(&mut self, field: &str) -> Result<Duration, WireError> {
--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -1,7 +1,7 @@
 //! The structure that both file formats are turned into.
 
 use crate::fleet::FleetConfig;
-use crate::list::List;
+use crate::list::EndpointList;
 use crate::problem::Problem;
 use curlewhub_balance::Settings;
 use serde::{Deserialize, Serialize};
@@ -10,13 +10,13 @@
 
 /// Fewer descriptors than this leave nothing to serve with: 48 are kept for the listener, the runtime,
 /// discovery, operators and refused clients.
-pub const LEAST_SOCKETS: usize = 64;
+pub const MIN_SOCKETS: usize = 64;
 /// Less memory than this, in MiB, leaves no room for a client.
-pub const LEAST_MEMORY_MB: usize = 8;
+pub const MIN_MEMORY_MB: usize = 8;
 /// An endpoint that accepts more connections needs no bound.
-pub const ENDPOINT_CONNECTIONS_MOST: u32 = 1_000_000;
+pub const MAX_ENDPOINT_CONNECTIONS: u32 = 1_000_000;
 /// Repeated log lines from one place, a second, where nothing is said.
-pub const LOG_PER_SECOND: u32 = 20;
+pub const DEFAULT_LOG_LINES_PER_SECOND: u32 = 20;
 
 /// A sidecar's whole configuration.
 #[derive(Clone, Debug, PartialEq)]
@@ -40,15 +40,15 @@
     /// Where it keeps bans and the handover's socket.
     pub state_dir: PathBuf,
     /// Whether a start may take over from a process that serves at the same address, or share the port.
-    pub replaces: bool,
+    pub may_take_over: bool,
     /// The endpoint list: where there is discovery, as last held, and it may be old.
-    pub known: List,
+    pub initial_list: EndpointList,
     /// The log.
-    pub log: Log,
+    pub log: LogSettings,
     /// The module's settings.
     pub settings: Settings,
     /// What made no sense and was taken otherwise, for the log.
-    pub notes: Vec<Problem>,
+    pub warnings: Vec<Problem>,
     /// Names on the wire of what the module knows by number.
     pub names: Names,
     /// The fleet whose view it holds; none on the platform, where instances share nothing, and where nobody says.
@@ -57,7 +57,7 @@
 
 /// How the log is written.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Log {
+pub struct LogSettings {
     /// Lines for people or for programs.
     pub format: LogFormat,
     /// The least level, alone or by target: `info`, `warn,curlewhub_runtime=debug`.
@@ -66,9 +66,13 @@
     pub per_second: u32,
 }
 
-impl Default for Log {
+impl Default for LogSettings {
     fn default() -> Self {
-        Log { format: LogFormat::Text, level: "info".to_owned(), per_second: LOG_PER_SECOND }
+        LogSettings {
+            format: LogFormat::Text,
+            level: "info".to_owned(),
+            per_second: DEFAULT_LOG_LINES_PER_SECOND,
+        }
     }
 }
 
@@ -93,7 +97,8 @@
     pub tenants: Vec<Named>,
     /// Zones.
     #[serde(default)]
-    pub areas: Vec<String>,
+    #[serde(rename = "areas")]
+    pub zones: Vec<String>,
     /// Machine kinds.
     #[serde(default)]
     pub kinds: Vec<String>,
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -1,13 +1,14 @@
 //! The operators' form of the configuration: a TOML file.
 
 use crate::config::{
-    Config, ENDPOINT_CONNECTIONS_MOST, LEAST_MEMORY_MB, LEAST_SOCKETS, LOG_PER_SECOND, Log, Named, Names,
+    Config, DEFAULT_LOG_LINES_PER_SECOND, LogSettings, MAX_ENDPOINT_CONNECTIONS, MIN_MEMORY_MB,
+    MIN_SOCKETS, Named, Names,
 };
 use crate::fleet::{FleetConfig, KeyConfig, ZoneFailoverConfig};
-use crate::list::{List, State, Target};
+use crate::list::{EndpointList, Target, TargetState};
 use crate::problem::{Problem, Problems};
-use crate::reader::{Effective, Override, Reader, Section, any, only};
-use crate::repeat::Repeat;
+use crate::reader::{EffectiveValue, Override, Reader, Section, any, only};
+use crate::repeat::RepeatPolicy;
 use crate::units::{Size, Span};
 use curlewhub_balance::{
     Class, Costs, Discovery, Goal, Group, Limits, LoadReports, ReportVia, Rules, Semantics, Settings,
@@ -67,7 +68,7 @@
     source: &str,
     text: &str,
     overrides: &[Override],
-) -> Result<(Config, Vec<Effective>), Problems> {
+) -> Result<(Config, Vec<EffectiveValue>), Problems> {
     let (mut reader, mut root) = Reader::parse(source, text, overrides);
     let config = config(&mut reader, &mut root);
     root.finish(&mut reader);
@@ -94,18 +95,18 @@
         r,
         "memory",
         Size(192 * MIB),
-        &only("8MiB or more", |size: &Size| size.0 >= LEAST_MEMORY_MB as u64 * MIB),
+        &only("8MiB or more", |size: &Size| size.0 >= MIN_MEMORY_MB as u64 * MIB),
     );
     let sockets = limits.or(
         r,
         "sockets",
         1024,
-        &only("64 to 1000000 descriptors", |n: &usize| (LEAST_SOCKETS..=1_000_000).contains(n)),
+        &only("64 to 1000000 descriptors", |n: &usize| (MIN_SOCKETS..=1_000_000).contains(n)),
     );
     let endpoint_connections = limits.optional(
         r,
         "endpoint_connections",
-        &only("1 to 1000000", |n: &u32| (1..=ENDPOINT_CONNECTIONS_MOST).contains(n)),
+        &only("1 to 1000000", |n: &u32| (1..=MAX_ENDPOINT_CONNECTIONS).contains(n)),
     );
     let attempts = attempts(r, &mut limits);
     limits.finish(r);
@@ -167,12 +168,12 @@
         endpoint_connections,
         memory_mb: (memory.0 / MIB) as usize,
         state_dir,
-        replaces: false,
-        known: List { rev: 0, all: true, targets },
+        may_take_over: false,
+        initial_list: EndpointList { rev: 0, is_complete: true, targets },
         log,
         settings,
-        notes: Vec::new(),
-        names: Names { classes: class_names, tenants: tenant_names, areas: zones, kinds },
+        warnings: Vec::new(),
+        names: Names { classes: class_names, tenants: tenant_names, zones, kinds },
         fleet,
     }
 }
@@ -201,10 +202,10 @@
     seed.and_then(|text| u64::from_str_radix(&text, 16).ok()).unwrap_or_else(rand::random)
 }
 
-fn log(r: &mut Reader, root: &mut Section<'_>) -> Log {
+fn log(r: &mut Reader, root: &mut Section<'_>) -> LogSettings {
     let mut s = root.section(r, "log");
-    let default = Log::default();
-    let log = Log {
+    let default = LogSettings::default();
+    let log = LogSettings {
         format: s.or(r, "format", default.format, &any("text or json")),
         level: s.or(
             r,
@@ -218,7 +219,7 @@
         per_second: s.or(
             r,
             "per_second",
-            LOG_PER_SECOND,
+            DEFAULT_LOG_LINES_PER_SECOND,
             &only("1 to 1000000 lines", |n| (1..=1_000_000).contains(n)),
         ),
     };
@@ -270,13 +271,13 @@
             r.problem_at(&format!("{path}.name"), &format!("`{name}` is there twice"), "one of its own");
         }
         let time = any("a time such as 1.2s");
-        let repeat = s.or(r, "repeat", Repeat::Never, &any("safe, keyed or never"));
+        let repeat = s.or(r, "repeat", RepeatPolicy::Never, &any("safe, keyed or never"));
         let group = s.or(r, "group", RepeatGroup::All, &any("all, zone or group"));
         let window: Option<Span> = s.optional(r, "window", &time);
         let semantics = match repeat {
-            Repeat::Safe => Semantics::Safe,
-            Repeat::Never => Semantics::Unsafe,
-            Repeat::Keyed => {
+            RepeatPolicy::Safe => Semantics::Safe,
+            RepeatPolicy::Never => Semantics::Unsafe,
+            RepeatPolicy::Keyed => {
                 if window.is_none_or(|window| window.0.is_zero()) {
                     r.problem(
                         s.line(),
@@ -449,7 +450,7 @@
             az,
             model,
             pod_group: s.or(r, "group", 0, &any("a whole number")),
-            state: State::Up,
+            state: TargetState::Up,
             capacity_hint: s.or(
                 r,
                 "weight",
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -342,7 +342,7 @@
     }
 
     /// The address at which others reach this process.
-    pub fn reached_at(&self) -> SocketAddr {
+    pub fn advertised_address(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -16,8 +16,8 @@
 mod source;
 pub mod units;
 
-pub use config::{Config, LEAST_SOCKETS, Log, LogFormat, Named, Names};
+pub use config::{Config, LogFormat, LogSettings, MIN_SOCKETS, Named, Names};
 pub use problem::{Problem, Problems};
-pub use reader::{Effective, Override};
-pub use repeat::Repeat;
-pub use source::{Change, Loaded};
+pub use reader::{EffectiveValue, Override};
+pub use repeat::RepeatPolicy;
+pub use source::{ConfigChange, LoadedConfig};
--- a/crates/config/src/list.rs
+++ b/crates/config/src/list.rs
@@ -7,19 +7,20 @@
 
 /// A list, whole or of changes.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct List {
+pub struct EndpointList {
     /// Its version.
     pub rev: u64,
     /// What is missing from it is gone.
-    pub all: bool,
+    #[serde(rename = "all")]
+    pub is_complete: bool,
     /// Its entries.
     pub targets: Vec<Target>,
 }
 
-impl List {
+impl EndpointList {
     /// What can be read of a list that broke off: its whole entries up to the first that is not, as changes.
-    pub fn torn(text: &[u8]) -> List {
-        let mut list = List::default();
+    pub fn from_truncated(text: &[u8]) -> EndpointList {
+        let mut list = EndpointList::default();
         // Its end is missing: that it fails is expected, and what it had told by then is kept.
         let _ = Torn(&mut list).deserialize(&mut serde_json::Deserializer::from_slice(text));
         list
@@ -27,7 +28,7 @@
 }
 
 /// Reads a list, and within it its entries, as far as they come.
-struct Torn<'a>(&'a mut List);
+struct Torn<'a>(&'a mut EndpointList);
 
 impl<'de> DeserializeSeed<'de> for Torn<'_> {
     type Value = ();
@@ -80,7 +81,7 @@
     #[serde(default)]
     pub pod_group: u64,
     /// Whether it may be sent to.
-    pub state: State,
+    pub state: TargetState,
     /// Roughly its size.
     #[serde(default = "one")]
     pub capacity_hint: f64,
@@ -96,7 +97,7 @@
 /// An endpoint's standing in the list.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum TargetState {
     /// May be sent to.
     Up,
     /// Finishes what it has.
@@ -115,12 +116,12 @@
             format!("{{\"uid\":\"s-{n}\",\"endpoint\":\"127.0.0.1:7{n}\",\"state\":\"draining\"}}")
         };
         let text = format!("{{\"rev\":41,\"all\":true,\"targets\":[{},{}]}}", entry(1), entry(2));
-        let whole: List = serde_json::from_str(&text).unwrap();
+        let whole: EndpointList = serde_json::from_str(&text).unwrap();
         let ends: Vec<usize> =
             whole.targets.iter().map(|t| text.find(&t.uid).unwrap() - 8 + entry(1).len()).collect();
         for end in 0..text.len() {
-            let torn = List::torn(&text.as_bytes()[..end]);
-            assert!(!torn.all, "what is missing may stand behind the break");
+            let torn = EndpointList::from_truncated(&text.as_bytes()[..end]);
+            assert!(!torn.is_complete, "what is missing may stand behind the break");
             let read = ends.iter().filter(|at| end >= **at).count();
             assert_eq!(torn.targets, whole.targets[..read], "{}", &text[..end]);
             assert!(read == 0 || torn.rev == 41);
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's form of the configuration: `ROUTER_*` and the JSON file that `ROUTER_CONFIG` names.
 
-use crate::config::{Config, ENDPOINT_CONNECTIONS_MOST, LEAST_SOCKETS, Log, Names};
-use crate::list::List;
+use crate::config::{Config, LogSettings, MAX_ENDPOINT_CONNECTIONS, MIN_SOCKETS, Names};
+use crate::list::EndpointList;
 use crate::problem::{Problem, Problems};
 use crate::settings::parse_settings;
 use serde::Deserialize;
@@ -33,7 +33,7 @@
     seed: String,
     limits: Limits,
     #[serde(default)]
-    known: List,
+    known: EndpointList,
     settings: Value,
 }
 
@@ -81,10 +81,10 @@
         .map_err(|e| error(&e.field.replacen("conf", "settings", 1), e.problem))?;
     let names: Names = serde_path_to_error::deserialize(&file.settings)
         .map_err(|e| error(&format!("settings.{}", e.path()), e.inner()))?;
-    if file.limits.sockets < LEAST_SOCKETS {
-        return Err(error("limits.sockets", format!("at least {LEAST_SOCKETS} are needed")));
+    if file.limits.sockets < MIN_SOCKETS {
+        return Err(error("limits.sockets", format!("at least {MIN_SOCKETS} are needed")));
     }
-    let level = var("RUST_LOG").unwrap_or(Log::default().level);
+    let level = var("RUST_LOG").unwrap_or(LogSettings::default().level);
     let config = Config {
         name: var("ROUTER_NAME").unwrap_or(file.name),
         listen: address("listen", var("ROUTER_LISTEN").or(file.listen))?,
@@ -99,11 +99,11 @@
         endpoint_connections: connections(file.limits.endpoint_connections.as_ref(), &mut notes),
         memory_mb: file.limits.memory_mb as usize,
         state_dir: std::env::temp_dir(),
-        replaces: true,
-        known: file.known,
-        log: Log { level, ..Log::default() },
+        may_take_over: true,
+        initial_list: file.known,
+        log: LogSettings { level, ..LogSettings::default() },
         settings,
-        notes,
+        warnings: notes,
         names,
         fleet: None,
     };
@@ -138,7 +138,7 @@
 /// Connections that an endpoint accepts; what makes no sense is as good as unsaid.
 fn connections(said: Option<&Value>, notes: &mut Vec<Problem>) -> Option<u32> {
     let said = said.filter(|value| !value.is_null())?;
-    let known = count(said, ENDPOINT_CONNECTIONS_MOST);
+    let known = count(said, MAX_ENDPOINT_CONNECTIONS);
     if known.is_none() {
         notes.push(note("limits.endpoint_connections", said, "1 to 1000000"));
     }
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -24,7 +24,7 @@
 
 /// A field's value in effect, and where it came from.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Effective {
+pub struct EffectiveValue {
     /// The field, by its path.
     pub field: String,
     /// Its value.
@@ -64,7 +64,7 @@
     lines: Vec<usize>,
     overrides: Vec<(Override, bool)>,
     problems: Vec<Problem>,
-    effective: Vec<Effective>,
+    effective: Vec<EffectiveValue>,
     /// Lines of the fields that were read.
     placed: BTreeMap<String, usize>,
 }
@@ -124,7 +124,7 @@
     }
 
     /// What was read, or all that is wrong. Lines of one file come in their order.
-    pub fn finish(mut self) -> Result<Vec<Effective>, Vec<Problem>> {
+    pub fn finish(mut self) -> Result<Vec<EffectiveValue>, Vec<Problem>> {
         for (over, used) in std::mem::take(&mut self.overrides) {
             if !used {
                 self.push(over.origin, None, &over.field, "there is no such field", "");
@@ -136,7 +136,7 @@
 
     fn effective(&mut self, field: &str, value: &impl Serialize, origin: String) {
         let value = serde_json::to_value(value).unwrap_or(Value::Null);
-        self.effective.push(Effective { field: field.to_owned(), value, origin });
+        self.effective.push(EffectiveValue { field: field.to_owned(), value, origin });
     }
 
     /// The overriding value of a field; the last one given wins.
--- a/crates/config/src/repeat.rs
+++ b/crates/config/src/repeat.rs
@@ -6,7 +6,7 @@
 /// class that says nothing for one that never may.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Repeat {
+pub enum RepeatPolicy {
     /// Any repeat is harmless: GET.
     #[default]
     Safe,
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -20,7 +20,7 @@
 }
 
 /// Milliseconds as a duration, to the microsecond.
-pub fn duration(ms: f64) -> Duration {
+pub fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_micros((ms * 1000.0).round() as u64)
 }
 
@@ -265,7 +265,7 @@
     json.end().map_err(|e| error("conf".to_owned(), e.to_string()))?;
     let time = |field: &str, ms: f64| {
         if (0.0..=MAX_MS).contains(&ms) {
-            Ok(duration(ms))
+            Ok(duration_from_ms(ms))
         } else {
             Err(error(format!("conf.{field}"), format!("{ms} is out of range")))
         }
--- a/crates/config/tests/file.rs
+++ b/crates/config/tests/file.rs
@@ -1,8 +1,8 @@
 //! The operators' file: what it is turned into, and what is said of a wrong one.
 
 use curlewhub_balance::{Discovery, Group, Semantics, ZoneId};
-use curlewhub_config::list::State;
-use curlewhub_config::{Config, Effective, Loaded, LogFormat, Override, Problems, file};
+use curlewhub_config::list::TargetState;
+use curlewhub_config::{Config, EffectiveValue, LoadedConfig, LogFormat, Override, Problems, file};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 name = "quote"
 "#;
 
-fn parse(text: &str) -> Result<(Config, Vec<Effective>), Problems> {
+fn parse(text: &str) -> Result<(Config, Vec<EffectiveValue>), Problems> {
     file::parse("shop.toml", text, &[])
 }
 
@@ -177,19 +177,19 @@
     let path = std::env::temp_dir().join(format!("curlewhub-config-{}.toml", std::process::id()));
     let write = |text: &str| std::fs::write(&path, text).unwrap();
     write(LEAST);
-    let mut loaded = Loaded::file(&path, Vec::new()).unwrap();
+    let mut loaded = LoadedConfig::from_file(&path, Vec::new()).unwrap();
     assert_eq!(loaded.reload().unwrap(), Default::default(), "a new seed is no change");
     write(&(LEAST.to_owned() + "[[endpoints]]\nid = \"b\"\naddress = \"127.0.0.1:9002\"\n"));
     let change = loaded.reload().unwrap();
     let uids: Vec<_> = change.endpoints.unwrap().iter().map(|t| (t.uid.clone(), t.state)).collect();
-    assert_eq!(uids, [("a".to_owned(), State::Up), ("b".to_owned(), State::Up)]);
-    assert_eq!((change.discovery, change.restart.len()), (None, 0));
+    assert_eq!(uids, [("a".to_owned(), TargetState::Up), ("b".to_owned(), TargetState::Up)]);
+    assert_eq!((change.discovery, change.restart_fields.len()), (None, 0));
     write("listen = 7");
     assert!(loaded.reload().is_err());
-    assert_eq!(loaded.config.known.targets.len(), 2, "the old one stays");
+    assert_eq!(loaded.config.initial_list.targets.len(), 2, "the old one stays");
     write(&LEAST.replacen("listen", "name = \"new\"\nlisten", 1).replacen("quote", "offer", 1));
     let change = loaded.reload().unwrap();
-    assert_eq!(change.restart, ["classes[0].name", "name"]);
+    assert_eq!(change.restart_fields, ["classes[0].name", "name"]);
     assert_eq!(change.endpoints.map(|list| list.len()), Some(1));
     std::fs::remove_file(path).unwrap();
 }
--- a/crates/config/tests/live.rs
+++ b/crates/config/tests/live.rs
@@ -1,6 +1,6 @@
 //! Settings that a fleet decides and a running sidecar takes: over its file and its flags, or refused with all reasons.
 
-use curlewhub_config::{Loaded, Override, live};
+use curlewhub_config::{LoadedConfig, Override, live};
 use std::collections::BTreeMap;
 use std::io::Write;
 
@@ -8,10 +8,10 @@
 const DISCOVERY: &str = "[discovery]\naddress = \"127.0.0.1:8500\"\n";
 const ENDPOINT: &str = "[[endpoints]]\nid = \"a\"\naddress = \"127.0.0.1:9001\"\n";
 
-fn loaded(text: &str, overrides: Vec<Override>) -> (tempfile::NamedTempFile, Loaded) {
+fn loaded(text: &str, overrides: Vec<Override>) -> (tempfile::NamedTempFile, LoadedConfig) {
     let mut file = tempfile::NamedTempFile::new().unwrap();
     file.write_all(text.as_bytes()).unwrap();
-    let loaded = Loaded::file(file.path(), overrides).unwrap();
+    let loaded = LoadedConfig::from_file(file.path(), overrides).unwrap();
     (file, loaded)
 }
 
@@ -24,16 +24,16 @@
     let flag = Override { field: "log.level".into(), text: "warn".into(), origin: "--log-level".into() };
     let (file, mut loaded) = loaded(&format!("{FILE}{DISCOVERY}"), vec![flag]);
     let decided = values(&[("log.level", "debug"), ("discovery.address", "127.0.0.1:8501")]);
-    let change = loaded.take_fleet(&decided).unwrap();
+    let change = loaded.apply_fleet_values(&decided).unwrap();
     assert_eq!(change.discovery, Some("127.0.0.1:8501".parse().unwrap()));
     assert_eq!(change.log.map(|log| log.level).as_deref(), Some("debug"));
     // The file has changed meanwhile: that holds from its own reload on, and not before.
     std::fs::write(file.path(), format!("name = \"other\"\n{FILE}{DISCOVERY}")).unwrap();
-    let change = loaded.take_fleet(&decided).unwrap();
-    assert_eq!((change.discovery, change.log, change.restart.len()), (None, None, 0));
-    assert_eq!(loaded.reload().unwrap().restart, ["name"]);
+    let change = loaded.apply_fleet_values(&decided).unwrap();
+    assert_eq!((change.discovery, change.log, change.restart_fields.len()), (None, None, 0));
+    assert_eq!(loaded.reload().unwrap().restart_fields, ["name"]);
     assert_eq!(loaded.config.log.level, "debug");
-    let change = loaded.take_fleet(&BTreeMap::new()).unwrap();
+    let change = loaded.apply_fleet_values(&BTreeMap::new()).unwrap();
     assert_eq!(change.log.map(|log| log.level).as_deref(), Some("warn"));
     assert_eq!(loaded.config.discovery, Some("127.0.0.1:8500".parse().unwrap()));
 }
@@ -50,7 +50,7 @@
         ),
     ];
     for (wrong, wanted) in cases {
-        let problems = loaded.take_fleet(&wrong).unwrap_err().to_string();
+        let problems = loaded.apply_fleet_values(&wrong).unwrap_err().to_string();
         assert_eq!(problems.lines().count(), wanted.len(), "{problems}");
         wanted.iter().for_each(|part| assert!(problems.contains(part), "{part}: {problems}"));
     }
--- a/crates/config/tests/stored_forms.rs
+++ b/crates/config/tests/stored_forms.rs
@@ -4,8 +4,8 @@
 mod fixture;
 
 use curlewhub_config::fleet::FleetConfig;
-use curlewhub_config::list::{List, State, Target};
-use curlewhub_config::{file, live, settings::parse_settings};
+use curlewhub_config::list::{EndpointList, Target, TargetState};
+use curlewhub_config::{Named, Names, file, live, settings::parse_settings};
 use fixture::{assert_same, assert_same_text, path, text};
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -44,8 +44,8 @@
 #[test]
 fn the_example_sets_and_leaves_out_the_same_keys() {
     let (_, effective) = file::parse("example.toml", file::EXAMPLE, &[]).unwrap();
-    let here = |e: &&curlewhub_config::Effective| e.field != "state_dir"; // $TMPDIR
-    let said = |e: &curlewhub_config::Effective| format!("{} {}", e.value, e.origin == "default");
+    let here = |e: &&curlewhub_config::EffectiveValue| e.field != "state_dir"; // $TMPDIR
+    let said = |e: &curlewhub_config::EffectiveValue| format!("{} {}", e.value, e.origin == "default");
     let written: Vec<_> = effective.iter().filter(here).map(|e| (e.field.as_str(), said(e))).collect();
     assert_same("example_effective.txt", &written);
 }
@@ -170,6 +170,19 @@
     assert_eq!(distinct.len(), fields.len());
 }
 
+#[test]
+fn names_in_the_platforms_settings_are_read() {
+    let mut settings: serde_json::Value = serde_json::from_str(&text("platform_settings.json")).unwrap();
+    settings["kinds"] = serde_json::json!(["large", "small"]);
+    let names: Names = serde_json::from_value(settings).unwrap();
+    let of = |named: &[Named]| named.iter().map(|named| named.name.clone()).collect::<Vec<_>>();
+    assert_eq!((of(&names.classes), of(&names.tenants)), (vec!["view".to_owned()], vec!["t".to_owned()]));
+    assert_eq!(
+        (names.zones, names.kinds),
+        (["a", "b", "c"].map(str::to_owned).to_vec(), ["large", "small"].map(str::to_owned).to_vec())
+    );
+}
+
 #[test]
 fn the_endpoint_list_has_the_same_json() {
     let target = |n: u16, state| Target {
@@ -182,10 +195,11 @@
         capacity_hint: 2.5,
         boot_ms: 1_700_000_000_123.0,
     };
-    let targets = vec![target(1, State::Up), target(2, State::Draining), target(3, State::Removed)];
-    let list = List { rev: 41, all: true, targets };
+    let targets =
+        vec![target(1, TargetState::Up), target(2, TargetState::Draining), target(3, TargetState::Removed)];
+    let list = EndpointList { rev: 41, is_complete: true, targets };
     assert_same_text("endpoint_list.json", &format!("{}\n", json(&list)));
-    assert_eq!(serde_json::from_str::<List>(&text("endpoint_list.json")).unwrap(), list);
+    assert_eq!(serde_json::from_str::<EndpointList>(&text("endpoint_list.json")).unwrap(), list);
 }
 
 #[test]
--- a/crates/control-plane-node/src/process.rs
+++ b/crates/control-plane-node/src/process.rs
@@ -41,7 +41,7 @@
         name: config.name.clone(),
         role,
         zone: config.zone.clone(),
-        address: config.reached_at(),
+        address: config.advertised_address(),
         build: env!("CARGO_PKG_VERSION").to_owned(),
         format: FORMAT,
         incarnation,
--- a/crates/curlewhub/src/check.rs
+++ b/crates/curlewhub/src/check.rs
@@ -2,7 +2,7 @@
 
 use crate::cli::CheckArgs;
 use crate::output::{Exit, print};
-use curlewhub_config::{Loaded, Problems};
+use curlewhub_config::{LoadedConfig, Problems};
 use serde_json::json;
 
 /// Prints all errors of the file, or on request its effective values.
@@ -13,7 +13,7 @@
     }
 }
 
-fn report_valid(args: &CheckArgs, loaded: &Loaded) -> Exit {
+fn report_valid(args: &CheckArgs, loaded: &LoadedConfig) -> Exit {
     if args.json {
         return print(&(json!({"ok": true, "effective": loaded.effective}).to_string() + "\n"));
     }
--- a/crates/curlewhub/src/cli/settings.rs
+++ b/crates/curlewhub/src/cli/settings.rs
@@ -1,7 +1,7 @@
 //! Flags and environment variables that override the configuration file.
 
 use clap::Args;
-use curlewhub_config::{Loaded, Override, Problems};
+use curlewhub_config::{LoadedConfig, Override, Problems};
 use std::path::Path;
 
 /// Flags that override the configuration file.
@@ -32,10 +32,10 @@
     ///
     /// # Errors
     /// Everything that is wrong with the result.
-    pub fn load(&self, path: &Path) -> Result<Loaded, Problems> {
+    pub fn load(&self, path: &Path) -> Result<LoadedConfig, Problems> {
         let mut overrides = environment_overrides();
         overrides.extend(self.flag_overrides());
-        Loaded::file(path, overrides)
+        LoadedConfig::from_file(path, overrides)
     }
 
     /// In the order of the flags' precedence: a later one replaces an earlier one.
--- a/crates/curlewhub/src/fleet/process.rs
+++ b/crates/curlewhub/src/fleet/process.rs
@@ -5,7 +5,7 @@
 use crate::cli::fleet::ProcessArgs;
 use crate::logs::Logs;
 use crate::output::{Exit, fail, reject_usage};
-use curlewhub_config::{Log, LogFormat};
+use curlewhub_config::{LogFormat, LogSettings};
 use curlewhub_control_plane::applied::AppliedRecords;
 use curlewhub_control_plane::record::Hash;
 use curlewhub_control_plane_node::config::FleetConfig;
@@ -65,7 +65,7 @@
         Err(problem) => return reject_usage(problem),
     };
     let format = if process.log_json { LogFormat::Json } else { LogFormat::Text };
-    let log = Log { format, level: process.log_level.clone(), ..Log::default() };
+    let log = LogSettings { format, level: process.log_level.clone(), ..LogSettings::default() };
     let logs = match Logs::start(&log) {
         Ok(logs) => logs,
         Err(error) => return reject_usage(format_args!("--log-level: {error}")),
--- a/crates/curlewhub/src/lib.rs
+++ b/crates/curlewhub/src/lib.rs
@@ -16,7 +16,7 @@
 
 use clap::{CommandFactory, Parser};
 use cli::{Cli, Command, ConfigCommand, SettingsArgs, SnapshotCommand};
-use curlewhub_config::{Loaded, Problems, file, platform};
+use curlewhub_config::{LoadedConfig, Problems, file, platform};
 use output::{Exit, fail, print, reject_usage};
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -50,7 +50,7 @@
 /// The platform starts the program without arguments and names its file in the environment.
 fn run_without_command() -> Exit {
     if is_on_platform() {
-        return run_sidecar(Loaded::platform(), false);
+        return run_sidecar(LoadedConfig::from_platform(), false);
     }
     let _ = Cli::command().print_help(); // a reader that has closed the pipe is no failure
     Exit::Usage
@@ -61,7 +61,7 @@
         Some(path) => run_sidecar(settings.load(&path), replace),
         // Flags override an operator's file only; with the platform's file they would be ignored silently.
         None if is_on_platform() && *settings == SettingsArgs::default() => {
-            run_sidecar(Loaded::platform(), false)
+            run_sidecar(LoadedConfig::from_platform(), false)
         }
         None => reject_usage("no configuration: --config FILE; `curlewhub config example` prints one"),
     }
@@ -71,12 +71,12 @@
 /// process may be killed 0.7 s behind its last deadline.
 const LAST_WRITE: Duration = Duration::from_millis(200);
 
-fn run_sidecar(loaded: Result<Loaded, Problems>, replace: bool) -> Exit {
+fn run_sidecar(loaded: Result<LoadedConfig, Problems>, replace: bool) -> Exit {
     let mut loaded = match loaded {
         Ok(loaded) => loaded,
         Err(problems) => return reject_usage(problems),
     };
-    loaded.config.replaces |= replace;
+    loaded.config.may_take_over |= replace;
     let logs = match logs::Logs::start(&loaded.config.log) {
         Ok(logs) => logs,
         Err(error) => return reject_usage(format_args!("log.level: {error}")),
--- a/crates/curlewhub/src/logs.rs
+++ b/crates/curlewhub/src/logs.rs
@@ -5,7 +5,7 @@
 //! of lines a second; lines beyond that are dropped and counted as well, and both counts are logged.
 
 use crate::log_limit::{CallSiteLimit, DroppedLines};
-use curlewhub_config::{Log, LogFormat};
+use curlewhub_config::{LogFormat, LogSettings};
 use std::sync::Arc;
 use std::time::Instant;
 use thiserror::Error;
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// The level is invalid; nothing is changed then.
-    pub fn change(&self, log: &Log) -> Result<(), LogError> {
+    pub fn change(&self, log: &LogSettings) -> Result<(), LogError> {
         self.levels.reload(levels(&log.level)?)?;
         self.limit.set(log.per_second);
         Ok(())
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     /// The level is invalid, or the process has a log already.
-    pub fn start(log: &Log) -> Result<Logs, LogError> {
+    pub fn start(log: &LogSettings) -> Result<Logs, LogError> {
         let (levels, levels_handle) = reload::Layer::new(levels(&log.level)?);
         let (output, writer) = NonBlockingBuilder::default()
             .buffered_lines_limit(MAX_QUEUED_LINES)
--- a/crates/curlewhub/src/member.rs
+++ b/crates/curlewhub/src/member.rs
@@ -247,7 +247,7 @@
             subscriber: None,
         };
     };
-    let (areas, tier) = (&config.names.areas, config.settings.tier);
+    let (areas, tier) = (&config.names.zones, config.settings.tier);
     let own_zone = areas.get(config.settings.zone.0 as usize).map_or("", |zone| zone);
     let zones: Vec<String> = areas.iter().map(|zone| tier_zone(zone, tier)).collect();
     let recorder = Rc::new(RefCell::new(CallRecorder::new(own_zone, zones.clone())));
--- a/crates/curlewhub/src/reload.rs
+++ b/crates/curlewhub/src/reload.rs
@@ -1,7 +1,7 @@
 //! Configuration changes while a sidecar serves: from its file at SIGHUP, and from the fleet view.
 
 use crate::logs::{LogControl, levels};
-use curlewhub_config::{Change, Loaded};
+use curlewhub_config::{ConfigChange, LoadedConfig};
 use curlewhub_control_plane::configuration::SettingValues;
 use curlewhub_runtime::events::Call;
 use curlewhub_runtime::figures::Figures;
@@ -12,7 +12,7 @@
 
 /// Owns the configuration in force and passes changes on to discovery and the log.
 pub struct Reloader {
-    loaded: RefCell<Loaded>,
+    loaded: RefCell<LoadedConfig>,
     figures: Rc<Figures>,
     calls: UnboundedSender<Call>,
     log: LogControl,
@@ -21,7 +21,7 @@
 impl Reloader {
     /// Starts with the configuration that the sidecar was started with.
     pub fn new(
-        loaded: Loaded,
+        loaded: LoadedConfig,
         figures: Rc<Figures>,
         calls: UnboundedSender<Call>,
         log: LogControl,
@@ -56,13 +56,13 @@
         if let Some(level) = values.get("log.level") {
             levels(level).map_err(|error| format!("log.level: {error}"))?;
         }
-        let change = self.loaded.borrow_mut().take_fleet(values);
+        let change = self.loaded.borrow_mut().apply_fleet_values(values);
         self.apply(change.map_err(|problems| problems.to_string())?);
         Ok(())
     }
 
-    fn apply(&self, change: Change) {
-        let Change { discovery, endpoints, log, restart } = change;
+    fn apply(&self, change: ConfigChange) {
+        let ConfigChange { discovery, endpoints, log, restart_fields } = change;
         let address = discovery.map(|address| address.to_string());
         info!(discovery = address, endpoints = endpoints.as_ref().map(Vec::len), "reloaded");
         if let Some(log) = log
@@ -70,8 +70,8 @@
         {
             warn!(problem = %error, "reload: log settings not changed");
         }
-        if !restart.is_empty() {
-            warn!(fields = restart.join(", "), "reload: changes that need a restart");
+        if !restart_fields.is_empty() {
+            warn!(fields = restart_fields.join(", "), "reload: changes that need a restart");
         }
         // Sending fails only while the process ends.
         if let Some(address) = discovery {
--- a/crates/curlewhub/src/serve.rs
+++ b/crates/curlewhub/src/serve.rs
@@ -7,7 +7,7 @@
 use crate::member::{self, FleetMembership};
 use crate::reload::Reloader;
 use curlewhub_balance::Balancer;
-use curlewhub_config::{Config, Loaded};
+use curlewhub_config::{Config, LoadedConfig};
 use curlewhub_connection_quota::Terms;
 use curlewhub_runtime::budget::Budget;
 use curlewhub_runtime::clock::Clock;
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 /// What kept the sidecar from starting, or what ended it.
-pub async fn run(loaded: Loaded, counts: Counts, log: LogControl) -> Result<(), ServeError> {
+pub async fn run(loaded: LoadedConfig, counts: Counts, log: LogControl) -> Result<(), ServeError> {
     let signals = Signals::install()?;
     let base = Base::new(&loaded.config)?;
     // First of all: an operator is owed an answer from the start on.
@@ -126,14 +126,14 @@
     async fn open(config: &Config, handover: &Rc<Handover>) -> Result<Self, ServeError> {
         const HINT: &str = "; `--replace` takes over from a curlewhub that serves there";
         let bans = EndpointBans::load(&config.state_dir, config.listen);
-        let handed_over = if config.replaces { handover.take_over().await } else { None };
+        let handed_over = if config.may_take_over { handover.take_over().await } else { None };
         let (listener, predecessor) = match handed_over {
             Some(HandedOver { listener, bans: uids, connection }) => {
                 bans.replace(uids);
                 (listener, Some(connection))
             }
             None => {
-                let bound = handover::bind(config.listen, config.replaces);
+                let bound = handover::bind(config.listen, config.may_take_over);
                 let listener =
                     bound.map_err(|source| ServeError::bind("listen", config.listen, source, HINT))?;
                 (listener, None)
@@ -161,9 +161,9 @@
         let listing = Listing::new(config.names.clone());
         let (calls, call_queue) = mpsc::unbounded_channel();
         let Some(address) = config.discovery else {
-            let _ = inbox.send(Input::List(listing.news(config.known.clone())));
+            let _ = inbox.send(Input::List(listing.news(config.initial_list.clone())));
             spawn_local(static_list::run(
-                config.known.targets.clone(),
+                config.initial_list.targets.clone(),
                 longest_deadline(config),
                 clock,
                 listing.clone(),
@@ -181,7 +181,7 @@
             config.seed,
             inbox.clone(),
         );
-        let _ = inbox.send(Input::List(discovery.cached(config.known.clone())));
+        let _ = inbox.send(Input::List(discovery.cached(config.initial_list.clone())));
         spawn_local(discovery.clone().run(call_queue));
         ListSource { listing, discovery: Some(discovery), calls }
     }
@@ -244,7 +244,7 @@
 
 impl Sidecar {
     /// Creates and connects the parts, and starts the driver.
-    fn start(loaded: Loaded, log: LogControl, base: Base, bans: Rc<EndpointBans>) -> Self {
+    fn start(loaded: LoadedConfig, log: LogControl, base: Base, bans: Rc<EndpointBans>) -> Self {
         let Base { clock, balancer, budget, figures, lifecycle, handover, commands, command_queue } = base;
         let config = loaded.config.clone();
         let (inbox, inputs) = mpsc::unbounded_channel();
@@ -338,12 +338,12 @@
 }
 
 fn open_idempotency_keys(config: &Config, clock: Clock, figures: Rc<Figures>) -> IdempotencyKeys {
-    let zones = &config.names.areas;
+    let zones = &config.names.zones;
     IdempotencyKeys::open(&config.state_dir, config.listen, &config.settings, zones, figures, clock)
 }
 
 fn warn_of_overridden_settings(config: &Config) {
-    for note in &config.notes {
+    for note in &config.warnings {
         warn!(field = note.field, problem = note.problem, "configuration: taken as if it were otherwise");
     }
 }
--- a/crates/discovery-client/src/client.rs
+++ b/crates/discovery-client/src/client.rs
@@ -8,7 +8,7 @@
 };
 use crate::versions::Versions;
 use curlewhub_balance::RefusalCause;
-use curlewhub_config::list::List;
+use curlewhub_config::list::EndpointList;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::time::Duration;
@@ -68,7 +68,7 @@
     /// Close this call's connection: nothing of it counts any more.
     Abandon(CallId),
     /// Take this list, or these changes.
-    Take(List),
+    Take(EndpointList),
     /// It works again, and nothing has changed.
     Unchanged,
     /// A call brought nothing, or the watch ended; the list stays.
@@ -217,7 +217,7 @@
     }
 
     /// A complete line of a watch: a list, changes, or an empty line.
-    pub fn watch_line(&mut self, now: Duration, id: CallId, list: Option<List>) {
+    pub fn watch_line(&mut self, now: Duration, id: CallId, list: Option<EndpointList>) {
         let Some(at) = self.calls.iter().position(|call| call.id == id) else { return };
         let call = self.calls[at];
         match call.progress {
@@ -247,7 +247,7 @@
     }
 
     /// The answer to a call for a whole list.
-    pub fn whole_list(&mut self, now: Duration, id: CallId, list: List) {
+    pub fn whole_list(&mut self, now: Duration, id: CallId, list: EndpointList) {
         let Some(at) = self.calls.iter().position(|call| call.id == id) else { return };
         let call = self.calls.swap_remove(at);
         self.crowded &= call.epoch != self.target;
@@ -263,7 +263,7 @@
     }
 
     /// A list broke off, or takes long: its entries so far.
-    pub fn torn(&mut self, id: CallId, list: List) {
+    pub fn torn(&mut self, id: CallId, list: EndpointList) {
         let Some(call) = self.calls.iter().find(|call| call.id == id).copied() else { return };
         self.take_departures(call.epoch, Some(list));
     }
@@ -327,7 +327,7 @@
     }
 
     /// The watch of a call becomes the one in force; one on a server before it is left.
-    fn opened(&mut self, now: Duration, at: usize, list: Option<List>) {
+    fn opened(&mut self, now: Duration, at: usize, list: Option<EndpointList>) {
         let call = self.calls[at];
         if let Some(before) = self.watch_in_force().map(|up| up.id) {
             self.actions.push(Action::Abandon(before));
@@ -353,7 +353,7 @@
         self.next_whole_list = owed.then(|| self.next_whole_list.unwrap_or(now));
     }
 
-    fn take_departures(&mut self, epoch: Epoch, list: Option<List>) {
+    fn take_departures(&mut self, epoch: Epoch, list: Option<EndpointList>) {
         let departures = list.and_then(|list| self.versions.departures(epoch, list));
         self.actions.extend(departures.map(Action::Take));
     }
--- a/crates/discovery-client/src/versions.rs
+++ b/crates/discovery-client/src/versions.rs
@@ -1,7 +1,7 @@
 //! Puts lists and changes into one order, over the move from one server to another.
 
 use crate::Epoch;
-use curlewhub_config::list::{List, State, Target};
+use curlewhub_config::list::{EndpointList, Target, TargetState};
 
 /// Changes that are kept beside a whole list that is still to come; with more of them the watch begins anew.
 pub const PENDING_CHANGES_LIMIT: usize = 16_384;
@@ -42,7 +42,7 @@
     }
 
     /// A watch of this server is the one that counts from now on; its first line brought this, or nothing new.
-    pub fn watch_opened(&mut self, epoch: Epoch, first: Option<&List>) {
+    pub fn watch_opened(&mut self, epoch: Epoch, first: Option<&EndpointList>) {
         if epoch > self.epoch {
             (self.epoch, self.version) = (epoch, 0);
             self.pending = Some(Vec::new());
@@ -53,9 +53,9 @@
     }
 
     /// The watch that counts has brought this.
-    pub fn watched(&mut self, list: &List) {
+    pub fn watched(&mut self, list: &EndpointList) {
         self.version = list.rev;
-        if list.all {
+        if list.is_complete {
             self.pending = None;
         } else if let Some(pending) = &mut self.pending {
             pending.extend(list.targets.iter().map(|target| (list.rev, target.clone())));
@@ -69,7 +69,7 @@
 
     /// A whole list that was requested while `held` was the version held: the list to apply, unless the watch has
     /// brought something newer.
-    pub fn whole_list(&mut self, epoch: Epoch, held: u64, mut list: List) -> Option<List> {
+    pub fn whole_list(&mut self, epoch: Epoch, held: u64, mut list: EndpointList) -> Option<EndpointList> {
         if epoch < self.epoch {
             return None;
         }
@@ -96,9 +96,9 @@
     }
 
     /// Of a list that does not count as a whole: the entries that leave, unless it is older than what is held.
-    pub fn departures(&self, epoch: Epoch, mut list: List) -> Option<List> {
-        list.all = false;
-        list.targets.retain(|target| target.state != State::Up);
+    pub fn departures(&self, epoch: Epoch, mut list: EndpointList) -> Option<EndpointList> {
+        list.is_complete = false;
+        list.targets.retain(|target| target.state != TargetState::Up);
         let old = epoch < self.epoch || (epoch == self.epoch && list.rev < self.version);
         (!old && !list.targets.is_empty()).then_some(list)
     }
@@ -107,7 +107,7 @@
 /// Lets a change hold over an entry of a list.
 fn overlay(targets: &mut Vec<Target>, change: Target) {
     targets.retain(|target| target.uid != change.uid);
-    if change.state != State::Removed {
+    if change.state != TargetState::Removed {
         targets.push(change);
     }
 }
--- a/crates/discovery-client/tests/lease.rs
+++ b/crates/discovery-client/tests/lease.rs
@@ -1,6 +1,6 @@
 //! For how long the list that is held may be used, by each way in which its watch can end.
 
-use curlewhub_config::list::List;
+use curlewhub_config::list::EndpointList;
 use curlewhub_discovery_client::timing::{LONGEST_OUTAGE, NOTIFIED_WITHIN};
 use curlewhub_discovery_client::{Action, CallId, CallKind, Client, Ending, LeaseState, Mode, Rules};
 use std::time::Duration;
@@ -17,12 +17,12 @@
     Duration::from_secs_f64(seconds)
 }
 
-fn changes(rev: u64) -> List {
-    List { rev, all: false, targets: Vec::new() }
+fn changes(rev: u64) -> EndpointList {
+    EndpointList { rev, is_complete: false, targets: Vec::new() }
 }
 
-fn whole(rev: u64) -> List {
-    List { rev, all: true, targets: Vec::new() }
+fn whole(rev: u64) -> EndpointList {
+    EndpointList { rev, is_complete: true, targets: Vec::new() }
 }
 
 /// Numbers and kinds of the calls that are begun.
--- a/crates/discovery-client/tests/notified_changes.rs
+++ b/crates/discovery-client/tests/notified_changes.rs
@@ -1,7 +1,7 @@
 //! Drawn histories of a discovery service beside one client: no list may be used once a change that it lacks counts as
 //! notified. What counts is recorded beside the client, from what discovery had and when it could be reached.
 
-use curlewhub_config::list::List;
+use curlewhub_config::list::EndpointList;
 use curlewhub_discovery_client::{Action, CallId, CallKind, Client, Ending, Mode, Rules};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -160,8 +160,8 @@
         }
     }
 
-    fn list(&self) -> List {
-        List { rev: self.version, all: true, targets: Vec::new() }
+    fn list(&self) -> EndpointList {
+        EndpointList { rev: self.version, is_complete: true, targets: Vec::new() }
     }
 
     fn written(&mut self) {
--- a/crates/discovery-client/tests/refused_calls.rs
+++ b/crates/discovery-client/tests/refused_calls.rs
@@ -1,6 +1,6 @@
 //! For how long a list may be used while discovery refuses each call for a newer one.
 
-use curlewhub_config::list::List;
+use curlewhub_config::list::EndpointList;
 use curlewhub_discovery_client::{Action, CallId, Client, Ending, Mode, Rules};
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
         return (client, Duration::ZERO);
     }
     let watch = calls(&mut client)[0];
-    client.watch_line(at, watch, Some(List { rev: 3, all: true, targets: Vec::new() }));
+    client.watch_line(at, watch, Some(EndpointList { rev: 3, is_complete: true, targets: Vec::new() }));
     match lost {
         Lost::NeverHad => {}
         Lost::EndedInOrder => client.ended(at, watch, Ending::Failed),
--- a/crates/discovery-client/tests/versions.rs
+++ b/crates/discovery-client/tests/versions.rs
@@ -1,9 +1,9 @@
 //! One order of lists and changes, over the move from one server to another.
 
-use curlewhub_config::list::{List, State, Target};
+use curlewhub_config::list::{EndpointList, Target, TargetState};
 use curlewhub_discovery_client::{Epoch, PENDING_CHANGES_LIMIT, Versions};
 
-fn target(uid: &str, state: State) -> Target {
+fn target(uid: &str, state: TargetState) -> Target {
     Target {
         uid: uid.to_owned(),
         endpoint: "127.0.0.1:7070".parse().unwrap(),
@@ -16,12 +16,12 @@
     }
 }
 
-fn list(rev: u64, all: bool, targets: &[(&str, State)]) -> List {
+fn list(rev: u64, all: bool, targets: &[(&str, TargetState)]) -> EndpointList {
     let targets = targets.iter().map(|(uid, state)| target(uid, *state)).collect();
-    List { rev, all, targets }
+    EndpointList { rev, is_complete: all, targets }
 }
 
-fn names(list: &List) -> Vec<(&str, State)> {
+fn names(list: &EndpointList) -> Vec<(&str, TargetState)> {
     list.targets.iter().map(|target| (target.uid.as_str(), target.state)).collect()
 }
 
@@ -43,13 +43,17 @@
 #[test]
 fn changes_that_came_beside_a_whole_list_hold_over_it_where_they_are_newer() {
     let mut versions = Versions::new(5);
-    versions.watch_opened(Epoch(1), Some(&list(2, false, &[("a", State::Draining)])));
-    versions.watched(&list(4, false, &[("b", State::Removed), ("c", State::Up)]));
+    versions.watch_opened(Epoch(1), Some(&list(2, false, &[("a", TargetState::Draining)])));
+    versions.watched(&list(4, false, &[("b", TargetState::Removed), ("c", TargetState::Up)]));
     assert!(versions.needs_whole_list());
-    let whole = list(3, true, &[("a", State::Up), ("b", State::Up)]);
+    let whole = list(3, true, &[("a", TargetState::Up), ("b", TargetState::Up)]);
     let merged = versions.whole_list(Epoch(1), 4, whole).expect("it is owed");
-    assert!(merged.all);
-    assert_eq!(names(&merged), [("a", State::Up), ("c", State::Up)], "a changed before the list was made");
+    assert!(merged.is_complete);
+    assert_eq!(
+        names(&merged),
+        [("a", TargetState::Up), ("c", TargetState::Up)],
+        "a changed before the list was made"
+    );
     assert_eq!(versions.version(), 4);
     assert!(!versions.needs_whole_list());
 }
@@ -66,12 +70,13 @@
 #[test]
 fn of_a_list_that_does_not_count_whole_departures_count_unless_they_are_older_than_what_is_held() {
     let versions = Versions::new(5);
-    let torn = list(6, true, &[("a", State::Draining), ("b", State::Up), ("c", State::Removed)]);
+    let torn =
+        list(6, true, &[("a", TargetState::Draining), ("b", TargetState::Up), ("c", TargetState::Removed)]);
     let departures = versions.departures(Epoch(0), torn.clone()).expect("some leave");
-    assert_eq!(names(&departures), [("a", State::Draining), ("c", State::Removed)]);
-    assert!(!departures.all);
-    assert!(versions.departures(Epoch(0), List { rev: 4, ..torn.clone() }).is_none());
-    assert!(versions.departures(Epoch(1), List { rev: 1, ..torn }).is_some(), "of a newer server");
+    assert_eq!(names(&departures), [("a", TargetState::Draining), ("c", TargetState::Removed)]);
+    assert!(!departures.is_complete);
+    assert!(versions.departures(Epoch(0), EndpointList { rev: 4, ..torn.clone() }).is_none());
+    assert!(versions.departures(Epoch(1), EndpointList { rev: 1, ..torn }).is_some(), "of a newer server");
 }
 
 #[test]
@@ -83,6 +88,6 @@
             assert_eq!(rev as usize, PENDING_CHANGES_LIMIT + 3);
             return;
         }
-        versions.watched(&list(rev, false, &[("a", State::Up)]));
+        versions.watched(&list(rev, false, &[("a", TargetState::Up)]));
     }
 }
--- a/crates/lab/src/capacity/measure/discovery.rs
+++ b/crates/lab/src/capacity/measure/discovery.rs
@@ -6,7 +6,7 @@
 use crate::capacity::file::Role;
 use crate::capacity::target::Dimension;
 use curlewhub_balance::{Event, Membership};
-use curlewhub_config::list::{List, State, Target};
+use curlewhub_config::list::{EndpointList, Target, TargetState};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
@@ -21,17 +21,17 @@
         az: format!("zone-{}", number % 7),
         model: "standard-8".to_owned(),
         pod_group: u64::from(number / 8),
-        state: State::Up,
+        state: TargetState::Up,
         capacity_hint: 8.0,
         boot_ms: 1_790_000_000_000.0 + f64::from(number),
     }
 }
 
-fn list(count: f64, all: bool) -> List {
-    List { rev: 123_456, all, targets: (0..count as u32).map(target).collect() }
+fn list(count: f64, all: bool) -> EndpointList {
+    EndpointList { rev: 123_456, is_complete: all, targets: (0..count as u32).map(target).collect() }
 }
 
-fn text(list: &List) -> Vec<u8> {
+fn text(list: &EndpointList) -> Vec<u8> {
     serde_json::to_vec(list).unwrap_or_default()
 }
 
@@ -59,7 +59,7 @@
     };
     let read = |size: f64| {
         let text = text(&list(size, true));
-        microseconds_each(effort, || serde_json::from_slice::<List>(&text).is_ok())
+        microseconds_each(effort, || serde_json::from_slice::<EndpointList>(&text).is_ok())
     };
     let untyped = |size: f64| {
         let text = text(&list(size, true));
--- a/crates/lab/src/load/client.rs
+++ b/crates/lab/src/load/client.rs
@@ -2,7 +2,7 @@
 
 use super::Plan;
 use super::mix::{ClassMix, Mix};
-use curlewhub_config::Repeat;
+use curlewhub_config::RepeatPolicy;
 use curlewhub_model::{End, pick};
 use curlewhub_standins::books::Books;
 use curlewhub_standins::http::{Message, Reader, Side};
@@ -135,7 +135,7 @@
             // At its end, with how long ago it was asked: one line a try.
             self.books.note(|| {
                 json!({"what": "try", "id": id, "request": request.key, "sidecar": request.target, "class": class.name,
-                       "keyed": class.repeat == Repeat::Keyed, "time_us": time.as_micros() as u64,
+                       "keyed": class.repeat == RepeatPolicy::Keyed, "time_us": time.as_micros() as u64,
                        "took_us": asked.elapsed().as_micros() as u64, "end": outcome.end, "status": status.map(|s| s.0),
                        "twice": status.is_some_and(|s| s.1), "late": status.is_some_and(|s| s.2),
                        "retry_after_ms": told.map(|told| told.as_millis() as u64)})
@@ -162,7 +162,7 @@
     }
 
     fn text(&self, request: &Request, class: &ClassMix, id: &str, time: Duration, again: bool) -> Vec<u8> {
-        let method = if class.repeat == Repeat::Safe { "GET" } else { "POST" };
+        let method = if class.repeat == RepeatPolicy::Safe { "GET" } else { "POST" };
         let mut text = format!(
             "{method} /{}/x?user={:x} HTTP/1.1\r\nHost: load\r\nX-Request-ID: {id}\r\nX-Timeout: {}u\r\n",
             class.name,
@@ -172,14 +172,14 @@
         if let Some(tenant) = request.tenant {
             text += &format!("X-Tenant-Id: {}\r\n", self.mix.tenants[tenant].name);
         }
-        if class.repeat == Repeat::Keyed {
+        if class.repeat == RepeatPolicy::Keyed {
             text += &format!("Idempotency-Key: {:016x}{:x}\r\n", request.key, self.run);
         }
         if again {
             text += "X-Retried: 1\r\n";
         }
-        let length = if class.repeat == Repeat::Safe { 0 } else { class.body.0 as usize };
-        if class.repeat != Repeat::Safe {
+        let length = if class.repeat == RepeatPolicy::Safe { 0 } else { class.body.0 as usize };
+        if class.repeat != RepeatPolicy::Safe {
             text += &format!("Content-Length: {length}\r\n");
         }
         text += "\r\n";
--- a/crates/lab/src/load/mix.rs
+++ b/crates/lab/src/load/mix.rs
@@ -1,6 +1,6 @@
 //! What requests are made of, as a file says it.
 
-use curlewhub_config::Repeat;
+use curlewhub_config::RepeatPolicy;
 use curlewhub_config::units::{Size, Span};
 use curlewhub_model::RetrySpec;
 use serde::{Deserialize, Serialize};
@@ -30,7 +30,7 @@
     pub share: f64,
     /// Whether its requests may run again.
     #[serde(default)]
-    pub repeat: Repeat,
+    pub repeat: RepeatPolicy,
     /// An answer within this is in time.
     pub objective: Span,
     /// A client waits for this long in all.
@@ -63,8 +63,8 @@
         };
         Mix {
             classes: vec![
-                class("proof-view", 0.65, Repeat::Safe, 1200, 3000, 0),
-                class("job-submit", 0.35, Repeat::Keyed, 1500, 4000, 212),
+                class("proof-view", 0.65, RepeatPolicy::Safe, 1200, 3000, 0),
+                class("job-submit", 0.35, RepeatPolicy::Keyed, 1500, 4000, 212),
             ],
             tenants: Vec::new(),
             retry: RetrySpec::default(),
--- a/crates/lab/src/resource_growth/mod.rs
+++ b/crates/lab/src/resource_growth/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::delay::sidecar::{Program, Sidecar};
 use crate::load::{self, Arrivals, Mix, Plan};
-use curlewhub_config::Repeat;
+use curlewhub_config::RepeatPolicy;
 use curlewhub_config::units::Span;
 use curlewhub_standins::books::Books;
 use curlewhub_standins::spec::{ClassSpec, EndpointSpec, FleetSpec, MachineSpec};
@@ -184,7 +184,7 @@
             name: class.name.clone(),
             work: Span(Duration::from_millis(WORK_MS)),
             cv: 0.4,
-            window: Span(if class.repeat == Repeat::Keyed { WINDOW } else { Duration::ZERO }),
+            window: Span(if class.repeat == RepeatPolicy::Keyed { WINDOW } else { Duration::ZERO }),
         };
         FleetSpec {
             seed: self.seed,
@@ -209,11 +209,11 @@
     );
     for class in &mix.classes {
         let repeat = match class.repeat {
-            Repeat::Safe => "repeat = \"safe\"".to_owned(),
-            Repeat::Keyed => {
+            RepeatPolicy::Safe => "repeat = \"safe\"".to_owned(),
+            RepeatPolicy::Keyed => {
                 format!("repeat = \"keyed\"\ngroup = \"zone\"\nwindow = \"{}s\"", WINDOW.as_secs())
             }
-            Repeat::Never => "repeat = \"never\"".to_owned(),
+            RepeatPolicy::Never => "repeat = \"never\"".to_owned(),
         };
         // Text into a string: it never fails.
         let _ = write!(
--- a/crates/lab/tests/load.rs
+++ b/crates/lab/tests/load.rs
@@ -1,6 +1,6 @@
 //! The load tool against peers that do wrong: each wrong is told apart, and no request is lost in the books.
 
-use curlewhub_config::Repeat;
+use curlewhub_config::RepeatPolicy;
 use curlewhub_config::units::Span;
 use curlewhub_lab::load::{Arrivals, Mix, Plan, Report, run, table};
 use curlewhub_standins::books::Books;
@@ -136,7 +136,7 @@
     let fleet = Fleet::start(FleetSpec::parse(spec).unwrap()).unwrap();
     let mut mix = views(0);
     mix.classes[0].name = "job".to_owned();
-    mix.classes[0].repeat = Repeat::Never;
+    mix.classes[0].repeat = RepeatPolicy::Never;
     mix.classes[0].deadline = Span(Duration::from_secs(20));
     let report = play(fleet.endpoint("a").unwrap(), mix, Arrivals::Even(50.0), 600);
     let all = report.classes.last().unwrap();
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -42,7 +42,7 @@
 mod world;
 
 pub use baselines::Decisions;
-pub use curlewhub_config::Repeat;
+pub use curlewhub_config::RepeatPolicy;
 pub use retry::{End, RetrySpec, pick};
 pub use scenario::{
     ArrivalSpec, Carry, ClassSpec, CutDirection, EndpointsSpec, FaultSpec, FleetSpec, NetworkSpec, Point,
--- a/crates/model/src/list_notification.rs
+++ b/crates/model/src/list_notification.rs
@@ -4,7 +4,7 @@
 //! Each call and each change on a watch takes one turn of one worker. A change ends the watches that it reaches, in place
 //! of coming on them. A call that has waited for too long is refused, and takes its turn all the same.
 
-use curlewhub_config::list::List;
+use curlewhub_config::list::EndpointList;
 use curlewhub_discovery_client::{Action, CallId, CallKind, Client, Ending, Mode, Rules};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -342,6 +342,6 @@
     }
 }
 
-fn list(rev: u64, all: bool) -> List {
-    List { rev, all, targets: Vec::new() }
+fn list(rev: u64, all: bool) -> EndpointList {
+    EndpointList { rev, is_complete: all, targets: Vec::new() }
 }
--- a/crates/model/src/retry.rs
+++ b/crates/model/src/retry.rs
@@ -1,6 +1,6 @@
 //! What clients do by themselves where they are not served: the same in the model and in the load over sockets.
 
-use curlewhub_config::Repeat;
+use curlewhub_config::RepeatPolicy;
 use curlewhub_config::units::Span;
 use rand::Rng;
 use rand::distr::Distribution;
@@ -70,8 +70,8 @@
     }
 
     /// Whether a client tries once more after so many tries, the last of which ended like this.
-    pub fn again(&self, end: End, repeat: Repeat, tries: u32) -> bool {
-        let harmless = end == End::Refused || repeat == Repeat::Safe || self.when_it_may_have_run;
+    pub fn again(&self, end: End, repeat: RepeatPolicy, tries: u32) -> bool {
+        let harmless = end == End::Refused || repeat == RepeatPolicy::Safe || self.when_it_may_have_run;
         end != End::Served && harmless && tries <= self.most
     }
 
@@ -108,13 +108,13 @@
     #[test]
     fn what_may_have_run_is_tried_again_only_where_that_is_wanted() {
         let retry = RetrySpec::default();
-        assert!(retry.again(End::Failed, Repeat::Safe, 1));
-        assert!(retry.again(End::Refused, Repeat::Keyed, 1));
-        assert!(!retry.again(End::Failed, Repeat::Keyed, 1));
-        assert!(!retry.again(End::Served, Repeat::Keyed, 1));
-        assert!(!retry.again(End::Refused, Repeat::Safe, 2), "no more than one");
+        assert!(retry.again(End::Failed, RepeatPolicy::Safe, 1));
+        assert!(retry.again(End::Refused, RepeatPolicy::Keyed, 1));
+        assert!(!retry.again(End::Failed, RepeatPolicy::Keyed, 1));
+        assert!(!retry.again(End::Served, RepeatPolicy::Keyed, 1));
+        assert!(!retry.again(End::Refused, RepeatPolicy::Safe, 2), "no more than one");
         let bold = RetrySpec { when_it_may_have_run: true, ..retry };
-        assert!(bold.again(End::Unanswered, Repeat::Keyed, 1));
+        assert!(bold.again(End::Unanswered, RepeatPolicy::Keyed, 1));
     }
 
     #[test]
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -3,7 +3,7 @@
 use crate::baselines::Decisions;
 use crate::retry::RetrySpec;
 use curlewhub_balance::{Class, Group, Limits, Rules, Semantics, Settings, Tenant, ZoneId};
-use curlewhub_config::Repeat;
+use curlewhub_config::RepeatPolicy;
 use curlewhub_config::fleet::ZoneFailoverConfig;
 use curlewhub_config::units::Span;
 use curlewhub_standins::spec::MachineSpec;
@@ -178,7 +178,7 @@
     pub spread: Spread,
     /// Whether a request may run again.
     #[serde(default)]
-    pub repeat: Repeat,
+    pub repeat: RepeatPolicy,
     /// For so long endpoints of a zone drop repeats.
     #[serde(default = "window")]
     pub window: Span,
@@ -388,9 +388,9 @@
             objective: class.objective.0,
             deadline: class.deadline.0,
             semantics: match class.repeat {
-                Repeat::Safe => Semantics::Safe,
-                Repeat::Keyed => Semantics::Keyed { group: Group::Zone, window: class.window.0 },
-                Repeat::Never => Semantics::Unsafe,
+                RepeatPolicy::Safe => Semantics::Safe,
+                RepeatPolicy::Keyed => Semantics::Keyed { group: Group::Zone, window: class.window.0 },
+                RepeatPolicy::Never => Semantics::Unsafe,
             },
             late_value: class.late_value,
             worth: class.worth,
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -18,7 +18,7 @@
     Action, AttemptEnded, AttemptNo, CellId, ClassId, Earlier, EndpointId, EndpointInfo, Event, Membership,
     Outcome, Request, RequestId, Snapshot, TenantId, TimerToken, ZoneId, ZoneRights,
 };
-use curlewhub_config::Repeat;
+use curlewhub_config::RepeatPolicy;
 use curlewhub_keys::{Entry, Memory};
 use curlewhub_overlap_quota::LOOK_EVERY;
 use curlewhub_standins::machine::{Happened, Machine, Offered};
--- a/crates/model/src/world/endpoints.rs
+++ b/crates/model/src/world/endpoints.rs
@@ -90,7 +90,7 @@
         call.is_some_and(|call| {
             let class = &self.scenario.classes[call.class];
             let within = |began: &Duration| self.now < *began + class.window.0;
-            class.repeat == Repeat::Keyed
+            class.repeat == RepeatPolicy::Keyed
                 && call.runs.iter().any(|(at, began)| *at == zone && within(began))
         })
     }
@@ -102,9 +102,9 @@
         };
         let class = &self.scenario.classes[call.class];
         let again = match class.repeat {
-            Repeat::Safe => false,
-            Repeat::Keyed => call.runs.iter().any(|(_, began)| self.now < *began + class.window.0),
-            Repeat::Never => !call.runs.is_empty(),
+            RepeatPolicy::Safe => false,
+            RepeatPolicy::Keyed => call.runs.iter().any(|(_, began)| self.now < *began + class.window.0),
+            RepeatPolicy::Never => !call.runs.is_empty(),
         };
         call.runs.push((zone, self.now));
         self.tally.at(call.born).runs += 1;
--- a/crates/model/src/world/sidecars.rs
+++ b/crates/model/src/world/sidecars.rs
@@ -137,7 +137,7 @@
         let Some(class) = self.calls.get(&call).map(|call| &self.scenario.classes[call.class]) else {
             return;
         };
-        if class.repeat != Repeat::Keyed {
+        if class.repeat != RepeatPolicy::Keyed {
             return;
         }
         let (zone, now) = (self.endpoints[endpoint_index].zone, self.now);
--- a/crates/rig/src/campaign.rs
+++ b/crates/rig/src/campaign.rs
@@ -5,7 +5,7 @@
 use crate::plan::{Member, Role, members};
 use crate::spec::{DrawFleetSpec, DrawSpec, RigSpec};
 use comfy_table::{Table, presets};
-use curlewhub_config::Repeat;
+use curlewhub_config::RepeatPolicy;
 use curlewhub_config::units::{Size, Span};
 use curlewhub_fault_schedule::{Call, Errno};
 use curlewhub_standins::spec::DirectoryManner;
@@ -309,8 +309,10 @@
     for class in &mut spec.classes {
         class.deadline = between(fleet.deadlines, draws);
         class.objective = Span(class.deadline.0 / 2);
-        class.repeat =
-            [Repeat::Safe, Repeat::Keyed, Repeat::Never].choose(draws).copied().unwrap_or_default();
+        class.repeat = [RepeatPolicy::Safe, RepeatPolicy::Keyed, RepeatPolicy::Never]
+            .choose(draws)
+            .copied()
+            .unwrap_or_default();
         class.window = between(fleet.windows, draws);
     }
 }
--- a/crates/rig/src/checks.rs
+++ b/crates/rig/src/checks.rs
@@ -7,7 +7,7 @@
 use crate::plan::{Plan, Role};
 use crate::run::Ran;
 use crate::spec::{CheckSpec, Judged};
-use curlewhub_config::Repeat;
+use curlewhub_config::RepeatPolicy;
 use curlewhub_config::units::Size;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
@@ -136,7 +136,7 @@
     figures.unknowing = unknowing;
     let mut checks =
         vec![seen.faults(), seen.started(), seen.crashes(), seen.answers(), seen.late(), seen.attempts()];
-    let keyed = plan.spec.classes.iter().any(|class| class.repeat != Repeat::Safe);
+    let keyed = plan.spec.classes.iter().any(|class| class.repeat != RepeatPolicy::Safe);
     checks.extend(keyed.then(|| seen.runs()));
     let says_drain = |kind| matches!(kind, Kind::Drain | Kind::Remove);
     let drained = plan.spec.faults.iter().any(|fault| says_drain(fault.what));
@@ -326,10 +326,13 @@
         };
         for entry in self.entries() {
             let What::Ran { endpoint, id, key } = &entry.what else { continue };
-            let Some(class) = class(id).filter(|class| class.repeat != Repeat::Safe) else { continue };
+            let Some(class) = class(id).filter(|class| class.repeat != RepeatPolicy::Safe) else {
+                continue;
+            };
             finding.saw();
             let job = key.as_deref().unwrap_or(id);
-            let window = if class.repeat == Repeat::Keyed { micros(class.window.0) } else { Micros::MAX };
+            let window =
+                if class.repeat == RepeatPolicy::Keyed { micros(class.window.0) } else { Micros::MAX };
             if let Some((at, first)) = runs.get(job).filter(|(at, _)| entry.at - at < window) {
                 let text = format!(
                     "{job} ({}) ran at {first} and {} ms later at {endpoint}",
--- a/crates/rig/src/scale/hollow.rs
+++ b/crates/rig/src/scale/hollow.rs
@@ -265,7 +265,7 @@
 /// Follows the list of the service that is called, and counts what comes.
 async fn watch_list(plane: Rc<PlaneSpec>, shared: Rc<Shared>, counted: Rc<Counted>, seed: u64) {
     let names =
-        Names { classes: Vec::new(), tenants: Vec::new(), areas: shared.zones.clone(), kinds: Vec::new() };
+        Names { classes: Vec::new(), tenants: Vec::new(), zones: shared.zones.clone(), kinds: Vec::new() };
     let (inbox, mut inputs) = unbounded_channel();
     let listing = Listing::new(names);
     let discovery =
--- a/crates/rig/src/scale/real.rs
+++ b/crates/rig/src/scale/real.rs
@@ -4,7 +4,7 @@
 use crate::scale::spec::ScaleSpec;
 use crate::spec::{ClassSpec, LoadSpec};
 use crate::texts;
-use curlewhub_config::Repeat;
+use curlewhub_config::RepeatPolicy;
 use curlewhub_config::fleet::{
     ConsensusServerConfig, FleetConfig, KeyConfig, PeerConfig, ZoneFailoverConfig,
 };
@@ -270,7 +270,7 @@
     let class = ClassSpec {
         name: CLASS.to_owned(),
         share: 1.0,
-        repeat: Repeat::Safe,
+        repeat: RepeatPolicy::Safe,
         window: Span::default(),
         objective: Span(OBJECTIVE),
         deadline: Span(DEADLINE),
--- a/crates/rig/src/spec.rs
+++ b/crates/rig/src/spec.rs
@@ -2,7 +2,7 @@
 
 use crate::fault::{FaultSpec, Kind};
 use crate::fleet::FleetPart;
-use curlewhub_config::Repeat;
+use curlewhub_config::RepeatPolicy;
 use curlewhub_config::units::{Size, Span};
 use curlewhub_model::RetrySpec;
 use curlewhub_standins::spec::{DirectoryManner, MachineSpec};
@@ -180,7 +180,7 @@
     pub share: f64,
     /// Whether its requests may run again.
     #[serde(default)]
-    pub repeat: Repeat,
+    pub repeat: RepeatPolicy,
     /// Endpoints of a hall drop a repeat of a key for this long.
     #[serde(default = "six")]
     pub window: Span,
--- a/crates/rig/src/texts.rs
+++ b/crates/rig/src/texts.rs
@@ -2,7 +2,7 @@
 
 use crate::plan::{Member, Plan, Role};
 use crate::spec::{ClassSpec, LoadSpec};
-use curlewhub_config::Repeat;
+use curlewhub_config::RepeatPolicy;
 use curlewhub_config::units::Span;
 use curlewhub_standins::spec::{ClassSpec as Work, DirectorySpec, EndpointSpec, FleetSpec, ViewSpec};
 use serde::Serialize;
@@ -109,7 +109,7 @@
 #[derive(Serialize)]
 struct ClassPart<'a> {
     name: &'a str,
-    repeat: Repeat,
+    repeat: RepeatPolicy,
     #[serde(skip_serializing_if = "Option::is_none")]
     group: Option<&'static str>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -163,7 +163,7 @@
 }
 
 fn class(class: &ClassSpec) -> ClassPart<'_> {
-    let keyed = class.repeat == Repeat::Keyed;
+    let keyed = class.repeat == RepeatPolicy::Keyed;
     ClassPart {
         name: &class.name,
         repeat: class.repeat,
@@ -215,7 +215,7 @@
         name: class.name.clone(),
         work: class.work,
         cv: class.cv,
-        window: if class.repeat == Repeat::Keyed { class.window } else { Span::default() },
+        window: if class.repeat == RepeatPolicy::Keyed { class.window } else { Span::default() },
     };
     let fleet = FleetSpec {
         seed: spec.seed,
@@ -252,7 +252,7 @@
 struct MixClass<'a> {
     name: &'a str,
     share: f64,
-    repeat: Repeat,
+    repeat: RepeatPolicy,
     objective: Span,
     deadline: Span,
     body: curlewhub_config::units::Size,
--- a/crates/runtime/src/budget.rs
+++ b/crates/runtime/src/budget.rs
@@ -1,7 +1,7 @@
 //! The budget of sockets: every client and endpoint connection holds a permit, so that the limits
 //! on descriptors and memory are kept by count.
 
-use curlewhub_config::LEAST_SOCKETS;
+use curlewhub_config::MIN_SOCKETS;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
@@ -10,7 +10,7 @@
 /// shed clients.
 const RESERVE: usize = 48;
 /// The configuration sees to it that some are left to serve with.
-const _: () = assert!(LEAST_SOCKETS >= RESERVE + 16);
+const _: () = assert!(MIN_SOCKETS >= RESERVE + 16);
 /// Clients over the cap that may still be told so, out of the reserve.
 const SHED_MOST: usize = 24;
 /// Operators who may call at once, out of the reserve.
--- a/crates/runtime/src/discovery/call.rs
+++ b/crates/runtime/src/discovery/call.rs
@@ -5,7 +5,7 @@
 use super::trace::CallTrace;
 use crate::guard::Guard;
 use crate::interrupts::Uninterrupted;
-use curlewhub_config::list::List;
+use curlewhub_config::list::EndpointList;
 use curlewhub_discovery_client::timing::{CALL_TIMEOUT, CONNECT_TIMEOUT};
 use curlewhub_discovery_client::{CallId, CallKind, Epoch, WatchState};
 use http_body_util::Empty;
@@ -23,11 +23,11 @@
 #[derive(Debug)]
 pub(super) enum Report {
     /// A line of a watch: a list, changes, or nothing new.
-    Line(Option<List>),
+    Line(Option<EndpointList>),
     /// A whole list.
-    WholeList(List),
+    WholeList(EndpointList),
     /// What can be read of a list that may have broken off.
-    Torn(List),
+    Torn(EndpointList),
     /// The call has ended, and no more comes of it.
     Ended {
         /// Why.
@@ -89,7 +89,7 @@
         self.report(Report::Ended { error, watch_was_up }).await;
     }
 
-    async fn whole_list(&mut self) -> Result<List, CallError> {
+    async fn whole_list(&mut self) -> Result<EndpointList, CallError> {
         let (response, _connection) = self.request("/api/targets").await?;
         let mut reader = BodyReader::new(response.into_body(), Part::List);
         loop {
@@ -103,8 +103,8 @@
                 }
             }
         }
-        match serde_json::from_slice::<List>(&reader.text) {
-            Ok(list) if list.all => Ok(list),
+        match serde_json::from_slice::<EndpointList>(&reader.text) {
+            Ok(list) if list.is_complete => Ok(list),
             Ok(_) => Err(CallError::NotWhole),
             Err(source) => {
                 self.report_torn(&reader.text).await;
@@ -185,7 +185,7 @@
     /// Reports the complete entries of a list that broke off: a drain in them counts as notified. Entries that are up, and
     /// missing ones, may read otherwise behind the break; they wait for a complete list.
     async fn report_torn(&self, text: &[u8]) {
-        let list = List::torn(text);
+        let list = EndpointList::from_truncated(text);
         if !list.targets.is_empty() {
             self.report(Report::Torn(list)).await;
         }
@@ -198,7 +198,7 @@
 
 /// Takes what is whole of the lines that a watch has brought, and leaves the rest. A list may come indented, over
 /// several lines; an empty line says that nothing has changed. Behind what is no list nothing is taken.
-fn take_lines(text: &mut Vec<u8>) -> Vec<Result<Option<List>, serde_json::Error>> {
+fn take_lines(text: &mut Vec<u8>) -> Vec<Result<Option<EndpointList>, serde_json::Error>> {
     let mut lines = Vec::new();
     loop {
         let white = text.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
@@ -211,7 +211,7 @@
         if !text.contains(&b'}') {
             return lines;
         }
-        let mut lists = serde_json::Deserializer::from_slice(text).into_iter::<List>();
+        let mut lists = serde_json::Deserializer::from_slice(text).into_iter::<EndpointList>();
         match lists.next() {
             Some(Ok(list)) => {
                 let end = lists.byte_offset();
--- a/crates/runtime/src/discovery/mod.rs
+++ b/crates/runtime/src/discovery/mod.rs
@@ -10,7 +10,7 @@
 use crate::listing::Listing;
 use call::{Order, Report, Reports};
 use curlewhub_balance::{Discovery as DiscoveryMode, Membership, Rules as ListRules};
-use curlewhub_config::list::List;
+use curlewhub_config::list::EndpointList;
 use curlewhub_discovery_client::{Action, CallId, Client, LeaseState, Mode, Outcome, Rules};
 pub use error::{CallError, Part};
 use std::cell::{Cell, RefCell};
@@ -70,7 +70,7 @@
     }
 
     /// The list as last held, to start from.
-    pub fn cached(&self, list: List) -> News {
+    pub fn cached(&self, list: EndpointList) -> News {
         self.client.borrow_mut().known(list.rev);
         let mut news = self.listing.news(list);
         if let Membership::Full(entries) | Membership::Delta(entries) = news.membership {
@@ -161,9 +161,9 @@
         }
     }
 
-    fn take(&self, list: List) {
+    fn take(&self, list: EndpointList) {
         if !list.targets.is_empty() {
-            info!(rev = list.rev, whole = list.all, entries = list.targets.len(), "list");
+            info!(rev = list.rev, whole = list.is_complete, entries = list.targets.len(), "list");
         }
         let news = self.listing.news(list);
         let _ = self.inbox.send(Input::List(news)); // fails only while the process ends
--- a/crates/runtime/src/listing.rs
+++ b/crates/runtime/src/listing.rs
@@ -6,7 +6,7 @@
     CellId, EndpointId, EndpointInfo, EndpointNames, EndpointState, KindId, Membership, ZoneId,
 };
 use curlewhub_config::Names;
-use curlewhub_config::list::{List, State};
+use curlewhub_config::list::{EndpointList, TargetState};
 use std::cell::RefCell;
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -51,7 +51,7 @@
     }
 
     /// A list, whole or of changes, in the module's terms.
-    pub fn news(&self, list: List) -> News {
+    pub fn news(&self, list: EndpointList) -> News {
         let mut ids = self.ids.borrow_mut();
         let place = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).unwrap_or(names.len()) as u32
@@ -71,13 +71,13 @@
             addresses.push((id, target.endpoint));
             entries.push(EndpointInfo {
                 id,
-                zone: ZoneId(place(&self.names.areas, &target.az)),
+                zone: ZoneId(place(&self.names.zones, &target.az)),
                 kind: KindId(place(&self.names.kinds, &target.model)),
                 cell: CellId(target.pod_group),
                 state: match target.state {
-                    State::Up => EndpointState::Ready,
-                    State::Draining => EndpointState::Draining,
-                    State::Removed => EndpointState::Gone,
+                    TargetState::Up => EndpointState::Ready,
+                    TargetState::Draining => EndpointState::Draining,
+                    TargetState::Removed => EndpointState::Gone,
                 },
                 weight: target.capacity_hint,
                 started: (target.boot_ms > 0.0)
@@ -85,7 +85,8 @@
             });
         }
         entries.reverse();
-        let membership = if list.all { Membership::Full(entries) } else { Membership::Delta(entries) };
+        let membership =
+            if list.is_complete { Membership::Full(entries) } else { Membership::Delta(entries) };
         News { membership, addresses }
     }
 }
--- a/crates/runtime/src/static_list.rs
+++ b/crates/runtime/src/static_list.rs
@@ -7,7 +7,7 @@
 use crate::events::{Call, Inbox, Input, News};
 use crate::listing::Listing;
 use curlewhub_balance::Membership;
-use curlewhub_config::list::{List, State, Target};
+use curlewhub_config::list::{EndpointList, Target, TargetState};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 use std::time::Duration;
@@ -36,7 +36,7 @@
         let stays: HashSet<&str> = new.iter().map(|target| target.uid.as_str()).collect();
         self.leaving.retain(|(_, left)| !stays.contains(left.uid.as_str()));
         let gone = old.iter().filter(|target| !stays.contains(target.uid.as_str()));
-        let drained = gone.map(|target| Target { state: State::Draining, ..target.clone() });
+        let drained = gone.map(|target| Target { state: TargetState::Draining, ..target.clone() });
         self.leaving.extend(drained.map(|target| (now + linger, target)));
         let before: HashMap<&str, &Target> =
             old.iter().map(|target| (target.uid.as_str(), target)).collect();
@@ -63,9 +63,13 @@
         self.leaving.iter().map(|(until, _)| *until).min()
     }
 
-    fn list(&self) -> List {
+    fn list(&self) -> EndpointList {
         let leaving = self.leaving.iter().map(|(_, target)| target);
-        List { rev: self.rev, all: true, targets: self.targets.iter().chain(leaving).cloned().collect() }
+        EndpointList {
+            rev: self.rev,
+            is_complete: true,
+            targets: self.targets.iter().chain(leaving).cloned().collect(),
+        }
     }
 }
 
@@ -120,13 +124,13 @@
             az: String::new(),
             model: String::new(),
             pod_group: 0,
-            state: State::Up,
+            state: TargetState::Up,
             capacity_hint: 1.0,
             boot_ms: 0.0,
         }
     }
 
-    fn states(held: &Held) -> Vec<(String, State, f64)> {
+    fn states(held: &Held) -> Vec<(String, TargetState, f64)> {
         held.list().targets.into_iter().map(|t| (t.uid, t.state, t.boot_ms)).collect()
     }
 
@@ -135,8 +139,8 @@
         let (now, linger) = (Instant::now(), Duration::from_secs(4));
         let mut held = Held::new(vec![target("a", 1), target("b", 2), target("c", 3)]);
         held.replace(vec![target("a", 1), target("b", 9), target("d", 4)], now, linger, 7.0);
-        let up = |uid: &str, boot| (uid.to_owned(), State::Up, boot);
-        let drained = ("c".to_owned(), State::Draining, 0.0);
+        let up = |uid: &str, boot| (uid.to_owned(), TargetState::Up, boot);
+        let drained = ("c".to_owned(), TargetState::Draining, 0.0);
         assert_eq!(states(&held), [up("a", 0.0), up("b", 7.0), up("d", 7.0), drained]);
         assert!(!held.expire(now + linger / 2), "it still drains");
         assert!(held.expire(now + linger));
@@ -150,7 +154,7 @@
         let mut held = Held::new(vec![target("a", 1), target("b", 2)]);
         held.replace(vec![target("a", 1)], now, linger, 7.0);
         held.replace(vec![target("a", 1), target("b", 2)], now, linger, 8.0);
-        let up = |uid: &str, boot| (uid.to_owned(), State::Up, boot);
+        let up = |uid: &str, boot| (uid.to_owned(), TargetState::Up, boot);
         assert_eq!(states(&held), [up("a", 0.0), up("b", 8.0)]);
         assert_eq!(held.list().rev, 3);
     }
--- a/crates/standins/src/discovery/mod.rs
+++ b/crates/standins/src/discovery/mod.rs
@@ -9,7 +9,7 @@
 use crate::interrupted::{self, write_whole};
 use crate::spec::{DirectoryManner, DirectorySpec};
 use crate::world::World;
-use curlewhub_config::list::{List, State, Target};
+use curlewhub_config::list::{EndpointList, Target, TargetState};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use record::{Event, View, note};
@@ -166,7 +166,9 @@
                     listed.push(new.clone());
                     changes.push(new);
                 }
-                (Some(at), None) => changes.push(Target { state: State::Removed, ..listed.remove(at) }),
+                (Some(at), None) => {
+                    changes.push(Target { state: TargetState::Removed, ..listed.remove(at) })
+                }
                 _ => {}
             }
         }
@@ -291,16 +293,16 @@
         self.busy_until.get().max(Instant::now()) + each
     }
 
-    fn whole(&self) -> List {
+    fn whole(&self) -> EndpointList {
         let mut targets = self.listed.borrow().clone();
-        targets.retain(|target| !self.manner().omits_draining || target.state != State::Draining);
+        targets.retain(|target| !self.manner().omits_draining || target.state != TargetState::Draining);
         let left = targets.len() as f64 * (1.0 - self.short.get());
         targets.truncate(left.round() as usize);
-        List { rev: *self.rev.borrow(), all: true, targets }
+        EndpointList { rev: *self.rev.borrow(), is_complete: true, targets }
     }
 
     /// What changed after this version; the whole list where that is not known any more.
-    fn after(&self, rev: u64) -> List {
+    fn after(&self, rev: u64) -> EndpointList {
         let history = self.history.borrow();
         let now = *self.rev.borrow();
         let complete = rev == now || history.front().is_some_and(|(first, _)| *first <= rev + 1);
@@ -308,7 +310,11 @@
             return self.whole();
         }
         let changes = history.iter().filter(|(at, _)| *at > rev);
-        List { rev: now, all: false, targets: changes.map(|(_, target)| target.clone()).collect() }
+        EndpointList {
+            rev: now,
+            is_complete: false,
+            targets: changes.map(|(_, target)| target.clone()).collect(),
+        }
     }
 
     /// Serves a watch until it ends, or until discovery falls silent.
@@ -358,7 +364,7 @@
         }
     }
 
-    async fn write_list(&self, stream: &mut TcpStream, list: List, view: View) -> io::Result<()> {
+    async fn write_list(&self, stream: &mut TcpStream, list: EndpointList, view: View) -> io::Result<()> {
         note(&self.world, view, Event::Written(list.rev));
         let text = self.json(list, view);
         let in_pieces = self.strikes(self.manner().pieces);
@@ -368,7 +374,7 @@
     }
 
     /// A list as a view words it.
-    fn json(&self, mut list: List, view: View) -> String {
+    fn json(&self, mut list: EndpointList, view: View) -> String {
         if let Some(addresses) = view.map(|view| &self.views[view]) {
             for target in &mut list.targets {
                 target.endpoint = addresses.get(&target.uid).copied().unwrap_or(target.endpoint);
--- a/crates/standins/src/endpoint.rs
+++ b/crates/standins/src/endpoint.rs
@@ -9,7 +9,7 @@
 use crate::machine::{JobId, Machine};
 use crate::spec::EndpointSpec;
 use crate::world::World;
-use curlewhub_config::list::{State, Target};
+use curlewhub_config::list::{Target, TargetState};
 use jobs::Job;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -110,10 +110,10 @@
     }
 
     /// What the list says of it while it is alive; none where it is removed.
-    fn listed_state(&self) -> Option<State> {
+    fn listed_state(&self) -> Option<TargetState> {
         match (self.removals.get(), self.drains.get()) {
-            (0, 0) => Some(State::Up),
-            (0, _) => Some(State::Draining),
+            (0, 0) => Some(TargetState::Up),
+            (0, _) => Some(TargetState::Draining),
             (_, _) => None,
         }
     }
@@ -134,8 +134,8 @@
     }
 
     /// The published list now has this state for it.
-    pub fn published(&self, state: Option<State>) {
-        let drains = state != Some(State::Up);
+    pub fn published(&self, state: Option<TargetState>) {
+        let drains = state != Some(TargetState::Up);
         let since = self.draining_since.get().filter(|_| drains);
         self.draining_since.set(since.or_else(|| drains.then(Instant::now)));
     }
--- a/crates/standins/tests/fleet.rs
+++ b/crates/standins/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet over its sockets: what endpoints and discovery answer, and each fault as a caller meets it.
 
-use curlewhub_config::list::{List, State};
+use curlewhub_config::list::{EndpointList, TargetState};
 use curlewhub_standins::{Fault, Fleet, FleetSpec, OrderError};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -68,7 +68,7 @@
 }
 
 /// The whole list, by one call.
-fn fetch(at: SocketAddr) -> std::io::Result<List> {
+fn fetch(at: SocketAddr) -> std::io::Result<EndpointList> {
     let mut stream = connect(at);
     stream.write_all(b"GET /api/targets HTTP/1.1\r\n\r\n")?;
     let mut reader = BufReader::new(stream);
@@ -177,7 +177,7 @@
     let fleet = fleet();
     let at = fleet.addresses().discovery;
     let first = fetch(at).unwrap();
-    assert_eq!((first.all, first.targets.len()), (true, 3));
+    assert_eq!((first.is_complete, first.targets.len()), (true, 3));
     let mut watch = connect(at);
     write!(watch, "GET /api/targets?watch=1&after={} HTTP/1.1\r\n\r\n", first.rev).unwrap();
     let mut lines = BufReader::new(watch).lines().map_while(Result::ok);
@@ -187,14 +187,14 @@
     assert!(next(false).unwrap().contains("\"targets\":[]"), "nothing has changed since");
     assert!(next(true).is_some(), "it says that it lives");
     fleet.order(Some("c"), Fault::Drain).unwrap();
-    let change: List = serde_json::from_str(&next(false).unwrap()).unwrap();
+    let change: EndpointList = serde_json::from_str(&next(false).unwrap()).unwrap();
     assert_eq!(
-        (change.all, change.targets[0].uid.as_str(), change.targets[0].state),
-        (false, "c", State::Draining)
+        (change.is_complete, change.targets[0].uid.as_str(), change.targets[0].state),
+        (false, "c", TargetState::Draining)
     );
     fleet.order(Some("b"), Fault::Remove).unwrap();
-    let change: List = serde_json::from_str(&next(false).unwrap()).unwrap();
-    assert_eq!((change.rev, change.targets[0].state), (first.rev + 2, State::Removed));
+    let change: EndpointList = serde_json::from_str(&next(false).unwrap()).unwrap();
+    assert_eq!((change.rev, change.targets[0].state), (first.rev + 2, TargetState::Removed));
     assert_eq!(fetch(at).unwrap().targets.len(), 2);
     fleet.order(None, Fault::DirectoryShort { share: 0.5 }).unwrap();
     assert_eq!(fetch(at).unwrap().targets.len(), 1);
