--- a/crates/discovery-client/src/versions.rs
+++ b/crates/discovery-client/src/versions.rs
@@ -32,7 +32,7 @@
     }
 
     /// The version after which changes of this server are to be asked for.
-    pub fn ask_after(&self, epoch: Epoch) -> u64 {
+    pub fn request_after(&self, epoch: Epoch) -> u64 {
         if epoch == self.epoch { self.version } else { 0 }
     }
 
@@ -48,12 +48,12 @@
             self.pending = Some(Vec::new());
         }
         if let Some(list) = first {
-            self.watched(list);
+            self.apply_watch_line(list);
         }
     }
 
     /// The watch that counts has brought this.
-    pub fn watched(&mut self, list: &EndpointList) {
+    pub fn apply_watch_line(&mut self, list: &EndpointList) {
         self.version = list.rev;
         if list.is_complete {
             self.pending = None;
@@ -69,7 +69,12 @@
 
     /// A whole list that was requested while `held` was the version held: the list to apply, unless the watch has
     /// brought something newer.
-    pub fn whole_list(&mut self, epoch: Epoch, held: u64, mut list: EndpointList) -> Option<EndpointList> {
+    pub fn merge_whole_list(
+        &mut self,
+        epoch: Epoch,
+        held: u64,
+        mut list: EndpointList,
+    ) -> Option<EndpointList> {
         if epoch < self.epoch {
             return None;
         }
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -2,7 +2,7 @@
 
 use crate::baselines::Decisions;
 use crate::retry::RetrySpec;
-use curlewhub_balance::{Class, Group, Limits, Rules, Semantics, Settings, Tenant, ZoneId};
+use curlewhub_balance::{Class, DeduplicationScope, Limits, Rules, Semantics, Settings, Tenant, ZoneId};
 use curlewhub_config::RepeatPolicy;
 use curlewhub_config::fleet::ZoneFailoverConfig;
 use curlewhub_config::units::Span;
@@ -389,7 +389,9 @@
             deadline: class.deadline.0,
             semantics: match class.repeat {
                 RepeatPolicy::Safe => Semantics::Safe,
-                RepeatPolicy::Keyed => Semantics::Keyed { group: Group::Zone, window: class.window.0 },
+                RepeatPolicy::Keyed => {
+                    Semantics::Keyed { group: DeduplicationScope::Zone, window: class.window.0 }
+                }
                 RepeatPolicy::Never => Semantics::Unsafe,
             },
             late_value: class.late_value,
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -15,11 +15,11 @@
 use crate::slow_start::SlowStart;
 use crate::tally::{Outcome as Brought, Tally};
 use curlewhub_balance::{
-    Action, AttemptEnded, AttemptNo, CellId, ClassId, Earlier, EndpointId, EndpointInfo, Event, Membership,
-    Outcome, Request, RequestId, Snapshot, TenantId, TimerToken, ZoneId, ZoneRights,
+    Action, AttemptEnded, AttemptNo, CellId, ClassId, EarlierAttempt, EndpointId, EndpointInfo, Event,
+    Membership, Outcome, Request, RequestId, Snapshot, TenantId, TimerToken, ZoneAdmissions, ZoneId,
 };
 use curlewhub_config::RepeatPolicy;
-use curlewhub_keys::{Entry, Memory};
+use curlewhub_keys::{Entry, KeyTable};
 use curlewhub_overlap_quota::LOOK_EVERY;
 use curlewhub_standins::machine::{Happened, Machine, Offered};
 use rand::Rng;
@@ -96,7 +96,7 @@
     /// By sidecar, its living processes, the oldest first.
     sidecars: Vec<Vec<usize>>,
     /// By sidecar, where keyed jobs may have run.
-    keys: Vec<Memory>,
+    keys: Vec<KeyTable>,
     calls: HashMap<u64, Call>,
     flights: HashMap<u64, Flight>,
     next_flight: u64,
@@ -105,7 +105,7 @@
     /// The consensus servers and the sidecars' agents, if the scenario has them.
     control_plane: Option<control_plane::ControlPlane>,
     /// What each sidecar may send into zones, by what its fleet last said.
-    rights: Vec<ZoneRights>,
+    rights: Vec<ZoneAdmissions>,
     tally: Tally,
 }
 
@@ -122,13 +122,13 @@
             endpoints: Vec::new(),
             processes: Vec::new(),
             sidecars: Vec::new(),
-            keys: (0..scenario.sidecars).map(|_| Memory::default()).collect(),
+            keys: (0..scenario.sidecars).map(|_| KeyTable::default()).collect(),
             calls: HashMap::new(),
             flights: HashMap::new(),
             next_flight: 0,
             cuts: vec![(0, 0); scenario.zones.len()],
             control_plane: control_plane::fleet(scenario, seed),
-            rights: vec![ZoneRights::default(); scenario.sidecars as usize],
+            rights: vec![ZoneAdmissions::default(); scenario.sidecars as usize],
             tally: Tally::new(scenario),
         };
         world.furnish();
