--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -18,9 +18,9 @@
     Action, AttemptEnded, AttemptNo, CellId, ClassId, EarlierAttempt, EndpointId, EndpointInfo, Event,
     Membership, Outcome, Request, RequestId, Snapshot, TenantId, TimerToken, ZoneAdmissions, ZoneId,
 };
-use curlewhub_config::Repeat;
+use curlewhub_config::RepeatPolicy;
 use curlewhub_keys::{Entry, KeyTable};
-use curlewhub_overlap_quota::LOOK_EVERY;
+use curlewhub_overlap_quota::SAMPLE_INTERVAL;
 use curlewhub_standins::machine::{Happened, Machine, Offered};
 use rand::Rng;
 use rand_pcg::Pcg32;
