--- a/crates/balance/tests/choice.rs
+++ b/crates/balance/tests/choice.rs
@@ -1,19 +1,20 @@
-//! The choice itself: unbiased samples, the lower own count wins, ties spread evenly.
+//! Choice of endpoints: samples are unbiased, the endpoint with fewer own calls is chosen, ties are spread
+//! evenly.
 
 mod support;
 use curlewhub_balance::*;
 use std::collections::HashMap;
 use support::*;
 
-/// Where `count` requests go when each ends well before the next begins.
-fn spread(d: &mut Driver, count: usize) -> HashMap<EndpointId, usize> {
-    rounds(d, count, |_| (Outcome::Ok, 10))
+/// Counts `count` requests by endpoint, where each ends with a good answer before the next begins.
+fn sequential_counts(d: &mut Driver, count: usize) -> HashMap<EndpointId, usize> {
+    run_requests(d, count, |_| (Outcome::Ok, 10))
 }
 
 #[test]
-fn ties_spread_evenly() {
+fn ties_are_spread_evenly() {
     let mut d = Driver::new(Settings::default(), endpoints(5));
-    let counts = spread(&mut d, 5000);
+    let counts = sequential_counts(&mut d, 5000);
     for id in 1..=5 {
         let count = counts[&EndpointId(id)];
         assert!((850..1150).contains(&count), "endpoint {id} got {count} of 5000");
@@ -21,8 +22,8 @@
 }
 
 #[test]
-fn the_lower_own_count_wins() {
-    // With two endpoints both are always sampled, so calls that stay out must alternate.
+fn the_endpoint_with_fewer_own_calls_is_chosen() {
+    // With two endpoints both are always sampled, so calls that stay in flight must alternate.
     let mut d = Driver::new(Settings::default(), endpoints(2));
     for _ in 0..3 {
         let (_, a) = d.request(ms(900));
@@ -32,13 +33,13 @@
 }
 
 #[test]
-fn two_samples_of_many_avoid_a_busy_endpoint_but_not_always() {
-    // One endpoint holds a call. It is taken only if both samples would be it, that is never;
-    // the others share the rest evenly.
+fn two_samples_avoid_a_busy_endpoint_and_spread_evenly_over_the_others() {
+    // One endpoint has a call in flight. It would be chosen only if both samples were that endpoint, which
+    // can't happen; the others share the requests evenly.
     let mut d = Driver::new(Settings::default(), endpoints(4));
     let (_, first) = d.request(ms(60_000));
     let busy = sends(&first)[0];
-    let counts = spread(&mut d, 3000);
+    let counts = sequential_counts(&mut d, 3000);
     assert!(!counts.contains_key(&busy));
     for (id, count) in counts {
         assert!((850..1150).contains(&count), "{id:?} got {count} of 3000");
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn the_numbering_of_endpoints_means_nothing() {
+fn the_choice_does_not_depend_on_endpoint_ids() {
     let run = |offset: u64| {
         let list: Vec<EndpointInfo> = (0..6).map(|i| endpoint((i * 7919 + offset) % 97)).collect();
         let order: Vec<EndpointId> = list.iter().map(|info| info.id).collect();
@@ -63,26 +64,27 @@
 }
 
 #[test]
-fn own_zone_goes_first() {
+fn the_own_zone_is_preferred() {
     let mut d = Driver::new(Settings::default(), three_zones());
-    let counts = spread(&mut d, 200);
+    let counts = sequential_counts(&mut d, 200);
     assert!(counts.keys().all(|id| id.0 % 3 == 0), "{counts:?}");
 }
 
 #[test]
-fn a_busy_zone_spills_over() {
+fn requests_leave_a_busy_zone() {
     let mut d = Driver::new(Settings::default(), three_zones());
     let mut away = 0;
     for _ in 0..8 {
         let (_, actions) = d.request(ms(60_000));
         away += sends(&actions).iter().filter(|id| id.0 % 3 != 0).count();
     }
-    assert!(away > 0, "nothing left a zone whose two endpoints hold all the calls");
+    assert!(away > 0, "no request left a zone whose two endpoints have all the calls");
 }
 
 #[test]
-fn a_caller_of_a_large_fleet_has_room_in_its_own_zone() {
-    // Of 44 endpoints there it used four, what all 46 callers would leave it, and crossed with its fifth call.
+fn a_caller_of_a_large_fleet_keeps_its_calls_in_its_own_zone() {
+    // Guards against a caller that uses only four of the 44 endpoints there, its part if all 46 callers
+    // used them, and crosses zones with its fifth call.
     let zone = |id: u64| EndpointInfo { zone: ZoneId(id as u32 % 5), ..endpoint(id) };
     for me in 0..46 {
         let settings = Settings { balancers: 46, zones: 5, me, ..Settings::default() };
@@ -92,28 +94,28 @@
     }
 }
 
-/// How many of 100 requests leave a zone whose endpoints have come to answer in four times their time.
-fn leave_a_slowed_zone(balancers: u32) -> usize {
+/// How many of 100 requests leave the own zone once its endpoints take four times as long to answer.
+fn requests_leaving_a_slowed_zone(balancers: u32) -> usize {
     let zone = |id: u64| EndpointInfo { zone: ZoneId(id as u32 % 3), ..endpoint(id) };
     let mut d =
         Driver::new(Settings { balancers, zones: 3, ..Settings::default() }, (0..9).map(zone).collect());
-    let mut leave = |time| {
+    let mut leaving = |time| {
         let counts =
-            rounds(&mut d, 100, |id| (Outcome::Ok, if id.0.is_multiple_of(3) { time } else { 100 }));
+            run_requests(&mut d, 100, |id| (Outcome::Ok, if id.0.is_multiple_of(3) { time } else { 100 }));
         counts.iter().filter(|(id, _)| !id.0.is_multiple_of(3)).map(|(_, count)| count).sum()
     };
-    assert_eq!(leave(100), 0);
-    leave(400)
+    assert_eq!(leaving(100), 0);
+    leaving(400)
 }
 
 #[test]
-fn what_all_callers_do_to_a_zone_counts_against_the_margin_of_a_crossing() {
-    assert_eq!(leave_a_slowed_zone(3), 0, "alone in its zone");
-    assert!(leave_a_slowed_zone(12) > 10, "one of four there");
+fn the_load_that_all_callers_of_a_zone_cause_lowers_the_margin_for_crossing() {
+    assert_eq!(requests_leaving_a_slowed_zone(3), 0, "the only balancer of its zone");
+    assert!(requests_leaving_a_slowed_zone(12) > 10, "one of four balancers of its zone");
 }
 
 #[test]
-fn many_balancers_open_with_few_calls_at_an_endpoint() {
+fn many_balancers_start_with_few_calls_to_an_endpoint() {
     let first = |balancers: u32| {
         let mut d = Driver::new(Settings { balancers, ..Settings::default() }, endpoints(1));
         (0..9).flat_map(|_| sends(&d.request(ms(60_000)).1)).count()
@@ -121,40 +123,44 @@
     assert_eq!(
         [first(1), first(4), first(60)],
         [3, 1, 1],
-        "the window leaves less to more, the limit one call"
+        "windows are smaller with more balancers, and the limit leaves each one call"
     );
 }
 
-/// Late answers of the own zone have shrunk its window, while that of others stands open.
-fn with_a_small_window_at_home(list: Vec<EndpointInfo>) -> Driver {
+/// A balancer whose window for its own zone has shrunk by late answers, while the window for others has
+/// not.
+fn with_a_small_own_zone_window(list: Vec<EndpointInfo>) -> Driver {
     let settings = Settings { balancers: 4, ..Settings::default() };
     let mut d = Driver::new(settings, list);
     for _ in 0..30 {
         let (id, _) = d.request(ms(60_000));
-        d.end(id, Outcome::Ok, ms(900));
+        d.end_attempt(id, Outcome::Ok, ms(900));
     }
-    d.advance(ms(60_000)); // drag and heat are forgotten, windows are not
+    d.advance(ms(60_000)); // latency and failure scores decay, windows do not
     d
 }
 
 #[test]
-fn what_may_cross_may_stay_at_home() {
-    let mut d = with_a_small_window_at_home(three_zones());
+fn calls_that_may_cross_zones_may_stay_in_the_own_zone() {
+    let mut d = with_a_small_own_zone_window(three_zones());
     let went: Vec<EndpointId> = (0..3).flat_map(|_| sends(&d.request(ms(60_000)).1)).collect();
-    assert!(went.len() == 3 && went.iter().all(|id| id.0 % 3 == 0), "two endpoints hold three: {went:?}");
-    // Where there is no other zone, there is no window of others either.
-    let home = three_zones().into_iter().filter(|info| info.id.0 % 3 == 0).collect();
-    let mut d = with_a_small_window_at_home(home);
-    d.fill();
-    assert_eq!(d.out.len(), 1);
+    assert!(
+        went.len() == 3 && went.iter().all(|id| id.0 % 3 == 0),
+        "two endpoints take three calls: {went:?}"
+    );
+    // Without other zones there is no window for them either.
+    let own_zone = three_zones().into_iter().filter(|info| info.id.0 % 3 == 0).collect();
+    let mut d = with_a_small_own_zone_window(own_zone);
+    d.send_until_held();
+    assert_eq!(d.in_flight.len(), 1);
 }
 
 #[test]
-fn an_inner_tier_uses_all_of_its_zone_before_it_crosses() {
+fn an_inner_tier_uses_all_endpoints_of_its_zone_before_it_crosses() {
     let settings = Settings { balancers: 400, zones: 2, tier: 1, tiers: 2, ..Settings::default() };
     let list = (0..40).map(|id| EndpointInfo { zone: ZoneId((id % 2) as u32), ..endpoint(id) }).collect();
     let mut d = Driver::new(settings, list);
-    // One call at each endpoint is what each of so many may have out.
+    // Each of so many balancers may have one call in flight at each endpoint.
     let went = (0..20).flat_map(|_| sends(&d.request(ms(60_000)).1)).collect::<Vec<_>>();
     assert_eq!(went.iter().filter(|id| id.0 % 2 == 0).count(), 20, "{went:?}");
 }
--- a/crates/balance/tests/contract.rs
+++ b/crates/balance/tests/contract.rs
@@ -1,4 +1,5 @@
-//! What an embedder may rely on when its events are odd: each case has a stated behaviour.
+//! Defined behaviour of a balancer for unusual events of its embedder: repeated, late or unknown ones,
+//! clock steps and invalid settings.
 
 mod support;
 use curlewhub_balance::*;
@@ -6,23 +7,23 @@
 use support::*;
 
 #[test]
-fn a_clock_that_goes_backwards_is_taken_as_standing_still() {
+fn a_clock_that_goes_backwards_is_treated_as_stopped() {
     let mut d = Driver::new(Settings::default(), endpoints(3));
     let (id, _) = d.request(ms(500));
     d.now -= ms(50);
     let (second, actions) = d.request(ms(500));
     assert_eq!(sends(&actions).len(), 1);
-    d.end(second, Outcome::Ok, ms(1));
+    d.end_attempt(second, Outcome::Ok, ms(1));
     d.now += ms(50);
-    d.end(id, Outcome::Ok, ms(10));
-    assert_eq!(d.balancer.tracked_items(), 3, "the list alone");
+    d.end_attempt(id, Outcome::Ok, ms(10));
+    assert_eq!(d.balancer.tracked_items(), 3, "only the list is tracked");
 }
 
 #[test]
-fn an_outcome_told_twice_counts_once() {
+fn an_outcome_reported_twice_counts_once() {
     let mut d = Driver::new(Settings::default(), endpoints(2));
     let (id, _) = d.request(ms(500));
-    let (_, attempt, endpoint, _) = d.out[0];
+    let (_, attempt, endpoint, _) = d.in_flight[0];
     let ended = AttemptEnded {
         request: id,
         attempt,
@@ -33,11 +34,11 @@
         report: None,
     };
     assert_eq!(sends(&d.feed(Event::AttemptEnded(ended.clone()))).len(), 1, "sent again");
-    assert!(d.feed(Event::AttemptEnded(ended)).is_empty(), "the repeat of the outcome says nothing");
+    assert!(d.feed(Event::AttemptEnded(ended)).is_empty(), "the repeated outcome has no effect");
 }
 
 #[test]
-fn events_about_unknown_things_are_ignored() {
+fn events_with_unknown_ids_are_ignored() {
     let mut d = Driver::new(Settings::default(), endpoints(2));
     let ended = AttemptEnded {
         request: RequestId(999),
@@ -69,10 +70,10 @@
 fn an_event_for_a_finished_request_sends_nothing() {
     let mut d = Driver::new(Settings::default(), endpoints(2));
     let (id, _) = d.request(ms(500));
-    d.end(id, Outcome::Ok, ms(5));
+    d.end_attempt(id, Outcome::Ok, ms(5));
     assert!(d.feed(Event::RequestAbandoned(id)).is_empty());
     assert!(d.feed(Event::StreamStarted { request: id, attempt: AttemptNo(0) }).is_empty());
-    assert!(d.advance(ms(600)).is_empty(), "its deadline passes in silence");
+    assert!(d.advance(ms(600)).is_empty(), "its deadline causes no action");
 }
 
 #[test]
@@ -83,11 +84,11 @@
 }
 
 #[test]
-fn timers_of_a_finished_request_go_with_it() {
+fn timers_of_a_finished_request_are_dropped() {
     let mut driver = Driver::new(with_class(Semantics::Safe), endpoints(3));
     let before = driver.balancer.tracked_items();
     let (mut set, mut dropped) = (0, 0);
-    let mut note = |actions: &[Action]| {
+    let mut pending_timers = |actions: &[Action]| {
         for action in actions {
             set += usize::from(matches!(action, Action::SetTimer { .. }));
             dropped += usize::from(matches!(action, Action::CancelTimer { .. }));
@@ -96,21 +97,21 @@
     };
     for _ in 0..100 {
         let (id, actions) = driver.request(ms(60_000));
-        assert!(note(&actions) > 0, "its deadline, and later when an answer is overdue");
-        assert_eq!(note(&driver.end(id, Outcome::Ok, ms(5))), 0);
+        assert!(pending_timers(&actions) > 0, "one for its deadline, and later one for an overdue answer");
+        assert_eq!(pending_timers(&driver.end_attempt(id, Outcome::Ok, ms(5))), 0);
         assert_eq!(driver.balancer.tracked_items(), before);
     }
 }
 
 #[test]
-fn no_time_left_is_answered_at_once() {
+fn a_request_without_time_left_is_refused_at_once() {
     let mut d = Driver::new(Settings::default(), endpoints(2));
     let (id, actions) = d.request(Duration::ZERO);
     assert!(refused(&actions, id) && sends(&actions).is_empty());
 }
 
 #[test]
-fn a_started_stream_is_left_to_the_client() {
+fn a_started_stream_is_neither_cancelled_nor_answered() {
     let classes = vec![Class { streamed: true, ..Class::default() }];
     let mut d = Driver::new(Settings { classes, ..Settings::default() }, endpoints(2));
     let (id, _) = d.request(ms(300));
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_come_back_as_errors() {
+fn invalid_settings_are_rejected() {
     let new = |settings| Balancer::new(settings, 1, Duration::ZERO).err();
     assert_eq!(new(Settings { classes: vec![], ..Settings::default() }), Some(SettingsError::NoClasses));
     let mut settings = Settings::default();
--- a/crates/balance/tests/failures.rs
+++ b/crates/balance/tests/failures.rs
@@ -1,91 +1,92 @@
-//! Endpoints that fail or slow down, alone and together. One small test for each failure found;
-//! the commits tell their stories.
+//! Endpoints that fail or slow down, alone and together. Each test guards against one failure that was
+//! found; the commit that added it describes the failure.
 
 mod support;
 use curlewhub_balance::*;
 use support::*;
 
 #[test]
-fn quick_errors_do_not_win_the_samples() {
+fn an_endpoint_that_fails_fast_does_not_attract_requests() {
     let mut d = Driver::new(Settings::default(), endpoints(4));
-    let counts = rounds(&mut d, 400, where_bad(the_first, Outcome::Error, 1));
-    let bad = sent_to(&counts, the_first);
+    let counts = run_requests(&mut d, 400, outcome_where(is_endpoint_1, Outcome::Error, 1));
+    let bad = sent_to(&counts, is_endpoint_1);
     assert!(bad < 40, "{bad} of 400 went to the endpoint that fails at once");
 }
 
 #[test]
-fn an_endpoint_that_fails_alone_is_tried_again_once_it_has_cooled() {
+fn an_endpoint_that_failed_alone_is_tried_again_after_a_while() {
     let mut d = Driver::new(Settings::default(), endpoints(4));
-    rounds(&mut d, 50, where_bad(the_first, Outcome::Error, 1));
+    run_requests(&mut d, 50, outcome_where(is_endpoint_1, Outcome::Error, 1));
     d.advance(ms(20_000));
-    let counts = rounds(&mut d, 100, |_| (Outcome::Ok, 20));
-    assert!(sent_to(&counts, the_first) > 10, "{counts:?}");
+    let counts = run_requests(&mut d, 100, |_| (Outcome::Ok, 20));
+    assert!(sent_to(&counts, is_endpoint_1) > 10, "{counts:?}");
 }
 
 #[test]
-fn a_dead_endpoint_alone_in_having_room_does_not_draw_everything() {
-    // i1f175a: the live endpoints were at their limits, the dead one failed every connect at once.
+fn a_dead_endpoint_that_alone_is_below_its_limit_does_not_attract_all_requests() {
+    // Guards against trying a dead endpoint again and again, as it fails every connect at once while the
+    // live ones are at their limits (i1f175a).
     let mut d = Driver::new(Settings::default(), endpoints(4));
     let mut dead = 0;
     for _ in 0..60 {
         d.request(ms(60_000));
-        while let Some(id) = d.out.iter().find(|o| o.2 == EndpointId(1)).map(|o| o.0) {
+        while let Some(id) = d.in_flight.iter().find(|o| o.2 == EndpointId(1)).map(|o| o.0) {
             dead += 1;
-            d.end(id, Outcome::ConnectFailed, ms(1));
+            d.end_attempt(id, Outcome::ConnectFailed, ms(1));
         }
     }
     assert!(dead <= 6, "{dead} attempts went to the dead endpoint");
 }
 
 #[test]
-fn failures_that_all_endpoints_share_do_not_fill_their_limits() {
-    // A lower tier that fails shows at every endpoint alike; it must not close them all.
+fn failures_common_to_all_endpoints_leave_them_all_in_use() {
+    // A lower tier that fails causes failures at every endpoint alike; that must not exclude them all.
     let mut d = Driver::new(Settings::default(), endpoints(4));
-    rounds(&mut d, 60, |_| (Outcome::Error, 5));
+    run_requests(&mut d, 60, |_| (Outcome::Error, 5));
     let taken = (0..8).filter(|_| !sends(&d.request(ms(60_000)).1).is_empty()).count();
-    assert_eq!(taken, 8, "eight calls fit four endpoints that nothing tells apart");
+    assert_eq!(taken, 8, "four endpoints that fail alike take eight calls");
 }
 
 #[test]
 fn a_slow_endpoint_is_avoided_and_tried_again() {
     let mut d = Driver::new(Settings { tier: 1, ..Settings::default() }, endpoints(4));
-    rounds(&mut d, 100, |_| (Outcome::Ok, 20));
-    let slow = where_bad(the_first, Outcome::Ok, 200);
-    rounds(&mut d, 20, &slow);
-    let counts = rounds(&mut d, 200, &slow);
-    let some = sent_to(&counts, the_first);
+    run_requests(&mut d, 100, |_| (Outcome::Ok, 20));
+    let slow = outcome_where(is_endpoint_1, Outcome::Ok, 200);
+    run_requests(&mut d, 20, &slow);
+    let counts = run_requests(&mut d, 200, &slow);
+    let some = sent_to(&counts, is_endpoint_1);
     assert!(some < 25, "{some} of 200 went to the slow endpoint");
     d.advance(ms(30_000));
-    let counts = rounds(&mut d, 100, |_| (Outcome::Ok, 20));
-    assert!(sent_to(&counts, the_first) > 10, "{counts:?}");
+    let counts = run_requests(&mut d, 100, |_| (Outcome::Ok, 20));
+    assert!(sent_to(&counts, is_endpoint_1) > 10, "{counts:?}");
 }
 
 #[test]
 fn retries_stay_within_their_budget() {
     let mut d = Driver::new(Settings::default(), endpoints(4));
-    let counts = rounds(&mut d, 500, |_| (Outcome::Error, 1));
+    let counts = run_requests(&mut d, 500, |_| (Outcome::Error, 1));
     let attempts: usize = counts.values().sum();
     assert!(attempts < 650, "{attempts} attempts for 500 requests that all fail");
 }
 
 #[test]
-fn state_is_given_up_through_a_long_day() {
-    // Endpoints come and go and requests end in every way; what is held must not grow.
+fn state_of_removed_endpoints_and_ended_requests_is_freed() {
+    // Endpoints come and go, and requests end in several ways; the tracked state must not grow.
     let mut d = Driver::new(Settings::default(), endpoints(4));
     let mut sizes = Vec::new();
     for round in 0..40u64 {
-        d.list(Membership::Full((round * 4..round * 4 + 4).map(endpoint).collect()));
+        d.update_list(Membership::Full((round * 4..round * 4 + 4).map(endpoint).collect()));
         for n in 0..50 {
             let (id, _) = d.request(ms(300));
-            if n % 3 != 0 && d.out.iter().any(|o| o.0 == id) {
-                d.end(id, Outcome::Ok, ms(3));
+            if n % 3 != 0 && d.in_flight.iter().any(|o| o.0 == id) {
+                d.end_attempt(id, Outcome::Ok, ms(3));
             }
             d.advance(ms(5));
         }
         d.advance(ms(400));
-        let late: Vec<RequestId> = d.out.iter().map(|o| o.0).collect();
+        let late: Vec<RequestId> = d.in_flight.iter().map(|o| o.0).collect();
         for id in late {
-            d.end(id, Outcome::TimedOut, ms(300));
+            d.end_attempt(id, Outcome::TimedOut, ms(300));
         }
         sizes.push(d.balancer.tracked_items());
     }
@@ -93,39 +94,40 @@
 }
 
 #[test]
-fn a_fleet_half_dead_does_not_pass_for_normal() {
-    // With the median's heat as the common part, half the fleet dead made the dead look like the rest.
+fn half_of_the_endpoints_being_dead_does_not_count_as_normal() {
+    // Guards against taking the median failure score for the part that all endpoints share: with half of
+    // them dead, the dead ones looked like the rest.
     let mut d = Driver::new(Settings::default(), endpoints(8));
     let dead = |to: EndpointId| to.0 <= 4;
-    let counts = rounds(&mut d, 400, where_bad(dead, Outcome::ConnectFailed, 1));
+    let counts = run_requests(&mut d, 400, outcome_where(dead, Outcome::ConnectFailed, 1));
     let lost = sent_to(&counts, dead);
     assert!(lost < 80, "{lost} attempts went to the dead half");
 }
 
 #[test]
-fn one_zone_lost_sends_its_traffic_elsewhere() {
+fn traffic_of_a_lost_zone_goes_to_other_zones() {
     let mut d = Driver::new(Settings::default(), three_zones());
-    let home = |to: EndpointId| to.0.is_multiple_of(3);
-    let counts = rounds(&mut d, 300, where_bad(home, Outcome::ConnectFailed, 1));
-    let away = sent_to(&counts, |to| !home(to));
-    assert!(away > 250, "{away} of 300 were served elsewhere: {counts:?}");
+    let own_zone = |to: EndpointId| to.0.is_multiple_of(3);
+    let counts = run_requests(&mut d, 300, outcome_where(own_zone, Outcome::ConnectFailed, 1));
+    let away = sent_to(&counts, |to| !own_zone(to));
+    assert!(away > 250, "{away} of 300 were served in other zones: {counts:?}");
 }
 
 #[test]
-fn partial_loss_to_one_endpoint_moves_calls_away_but_not_for_good() {
+fn partial_loss_at_one_endpoint_reduces_its_calls_but_not_to_none() {
     let mut d = Driver::new(Settings::default(), endpoints(4));
     let n = std::cell::Cell::new(0);
     let flaky = |to: EndpointId| {
         n.set(n.get() + 1);
         if to.0 == 1 && n.get() % 2 == 0 { (Outcome::Reset, 5) } else { (Outcome::Ok, 20) }
     };
-    let counts = rounds(&mut d, 800, flaky);
-    let flaky = sent_to(&counts, the_first);
+    let counts = run_requests(&mut d, 800, flaky);
+    let flaky = sent_to(&counts, is_endpoint_1);
     assert!((4..140).contains(&flaky), "{flaky} of 800 went to the endpoint that loses half");
 }
 
 #[test]
-fn reports_that_lie_or_stop_change_nothing() {
+fn wrong_or_missing_load_reports_change_nothing() {
     let run = |report: Option<Vec<f64>>| {
         let reports = LoadReports { via: ReportVia::Inline, fields: vec![LoadField::Outstanding] };
         let mut d = Driver::new(Settings { load_reports: reports, ..Settings::default() }, endpoints(5));
@@ -133,7 +135,7 @@
         for _ in 0..100 {
             let (id, actions) = d.request(ms(900));
             went.push(sends(&actions));
-            d.end_reporting(id, Outcome::Ok, ms(10), report.clone());
+            d.end_attempt_with_report(id, Outcome::Ok, ms(10), report.clone());
         }
         went
     };
@@ -142,16 +144,16 @@
 }
 
 #[test]
-fn a_coarse_clock_keeps_the_rules() {
-    // All events of half a second come at one instant; the driver's checker watches the rules.
+fn the_rules_hold_with_a_coarse_clock() {
+    // All events of half a second come at one instant; the driver's checker asserts the rules.
     let mut d = Driver::new(with_class(Semantics::Unsafe), endpoints(4));
     for _ in 0..20 {
         for _ in 0..30 {
             d.request(ms(900));
         }
         d.advance(ms(500));
-        for id in d.out.iter().map(|o| o.0).collect::<Vec<_>>() {
-            d.end(id, Outcome::Ok, ms(500));
+        for id in d.in_flight.iter().map(|o| o.0).collect::<Vec<_>>() {
+            d.end_attempt(id, Outcome::Ok, ms(500));
         }
     }
     d.advance(ms(2000));
@@ -159,13 +161,13 @@
 }
 
 #[test]
-fn an_endpoint_that_turns_good_and_bad_is_used_less_but_not_lost() {
+fn an_endpoint_that_fails_at_times_is_used_less_but_not_excluded() {
     let mut d = Driver::new(Settings::default(), endpoints(5));
     let (mut bad, mut good) = (0, 0);
     for phase in 0..10 {
         let failing = phase % 2 == 0;
-        let how = where_bad(|to| failing && the_first(to), Outcome::Error, 2);
-        let count = sent_to(&rounds(&mut d, 200, how), the_first);
+        let how = outcome_where(|to| failing && is_endpoint_1(to), Outcome::Error, 2);
+        let count = sent_to(&run_requests(&mut d, 200, how), is_endpoint_1);
         if failing {
             bad += count
         } else {
@@ -174,5 +176,5 @@
         d.advance(ms(1000));
     }
     assert!(bad < 100, "{bad} of 1000 went to it while it failed; an even share is 200");
-    assert!(good > 100, "only {good} of 1000 went to it while it was well");
+    assert!(good > 100, "only {good} of 1000 went to it while it was healthy");
 }
--- a/crates/balance/tests/properties.rs
+++ b/crates/balance/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Random legal event sequences; the checker of `support` asserts the four rules throughout.
+//! Random valid event sequences; the checker in `support` asserts the four rules at every step.
 
 mod support;
 use curlewhub_balance::*;
@@ -12,11 +12,11 @@
     Request { class: usize, tenant: usize, left: u64 },
     End { which: usize, outcome: u8, elapsed: u64 },
     TimeOutOverdue,
-    Gone(usize),
-    Change { id: u64, state: u8, fresh: bool },
-    Relist(u64),
+    ClientLeaves(usize),
+    ChangeEndpoint { id: u64, state: u8, restarted: bool },
+    ReplaceList(u64),
     DiscoveryFails,
-    Stray(u64),
+    UnknownIds(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -27,11 +27,12 @@
         6 => (any::<usize>(), 0u8..9, 0u64..900)
             .prop_map(|(which, outcome, elapsed)| Step::End { which, outcome, elapsed }),
         2 => Just(Step::TimeOutOverdue),
-        1 => any::<usize>().prop_map(Step::Gone),
-        1 => (1u64..9, 0u8..3, any::<bool>()).prop_map(|(id, state, fresh)| Step::Change { id, state, fresh }),
-        1 => (0u64..9).prop_map(Step::Relist),
+        1 => any::<usize>().prop_map(Step::ClientLeaves),
+        1 => (1u64..9, 0u8..3, any::<bool>())
+            .prop_map(|(id, state, restarted)| Step::ChangeEndpoint { id, state, restarted }),
+        1 => (0u64..9).prop_map(Step::ReplaceList),
         1 => Just(Step::DiscoveryFails),
-        1 => any::<u64>().prop_map(Step::Stray),
+        1 => any::<u64>().prop_map(Step::UnknownIds),
     ]
 }
 
@@ -48,11 +49,11 @@
     }
 }
 
-fn info(id: u64) -> EndpointInfo {
+fn grouped_endpoint(id: u64) -> EndpointInfo {
     EndpointInfo { zone: ZoneId((id % 2) as u32), cell: CellId(id % 3), ..endpoint(id) }
 }
 
-fn settings(copies: bool, cancelling: bool, discovery: Discovery) -> Settings {
+fn settings(second_copies: bool, cancelling: bool, discovery: Discovery) -> Settings {
     let class = |semantics| Class { semantics, ..Class::default() };
     let window = ms(300);
     let mut settings = Settings {
@@ -67,13 +68,13 @@
         discovery,
         ..Settings::default()
     };
-    settings.limits.second_copies = copies;
+    settings.limits.second_copies = second_copies;
     settings.limits.cancelling = cancelling;
     settings
 }
 
-fn play(settings: Settings, seed: u64, steps: &[Step]) {
-    let mut d = Driver::seeded(settings, (1..=6).map(info).collect(), seed);
+fn run_steps(settings: Settings, seed: u64, steps: &[Step]) {
+    let mut d = Driver::seeded(settings, (1..=6).map(grouped_endpoint).collect(), seed);
     for step in steps {
         match *step {
             Step::Wait(by) => {
@@ -83,36 +84,40 @@
                 d.request_of(class, tenant, ms(left));
             }
             Step::End { which, outcome: n, elapsed } => {
-                if !d.out.is_empty() {
-                    let id = d.out[which % d.out.len()].0;
-                    d.end(id, outcome(n), ms(elapsed));
+                if !d.in_flight.is_empty() {
+                    let id = d.in_flight[which % d.in_flight.len()].0;
+                    d.end_attempt(id, outcome(n), ms(elapsed));
                 }
             }
             Step::TimeOutOverdue => {
                 let now = d.now;
-                while let Some(id) = d.out.iter().find(|o| o.3 <= now).map(|o| o.0) {
-                    d.end(id, Outcome::TimedOut, ms(500));
+                while let Some(id) = d.in_flight.iter().find(|o| o.3 <= now).map(|o| o.0) {
+                    d.end_attempt(id, Outcome::TimedOut, ms(500));
                 }
             }
-            Step::Gone(which) => {
-                if !d.out.is_empty() {
-                    let id = d.out[which % d.out.len()].0;
+            Step::ClientLeaves(which) => {
+                if !d.in_flight.is_empty() {
+                    let id = d.in_flight[which % d.in_flight.len()].0;
                     d.feed(Event::RequestAbandoned(id));
                 }
             }
-            Step::Change { id, state, fresh } => {
+            Step::ChangeEndpoint { id, state, restarted } => {
                 let state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone]
                     [usize::from(state)];
-                let started = fresh.then_some(d.now);
-                d.list(Membership::Delta(vec![EndpointInfo { state, started, ..info(id) }]));
+                let started = restarted.then_some(d.now);
+                d.update_list(Membership::Delta(vec![EndpointInfo {
+                    state,
+                    started,
+                    ..grouped_endpoint(id)
+                }]));
             }
-            Step::Relist(n) => {
-                d.list(Membership::Full((1..=n).map(info).collect()));
+            Step::ReplaceList(n) => {
+                d.update_list(Membership::Full((1..=n).map(grouped_endpoint).collect()));
             }
             Step::DiscoveryFails => {
-                d.list(Membership::Failed);
+                d.update_list(Membership::Failed);
             }
-            Step::Stray(n) => {
+            Step::UnknownIds(n) => {
                 d.feed(Event::Timer(TimerToken(n)));
                 d.feed(Event::RequestAbandoned(RequestId(n | 1 << 40)));
                 d.feed(Event::PeerMessage { from: 1, payload: vec![1] });
@@ -122,30 +127,30 @@
     d.advance(ms(2000));
 }
 
-fn check(settings: Settings) {
+fn check_random_sequences(settings: Settings) {
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let strategy = (any::<u64>(), proptest::collection::vec(step(), 1..200));
     runner
         .run(&strategy, |(seed, steps)| {
-            play(settings.clone(), seed, &steps);
+            run_steps(settings.clone(), seed, &steps);
             Ok(())
         })
         .unwrap();
 }
 
 #[test]
-fn rules_hold_without_copies_where_the_list_is_pushed() {
-    check(settings(false, true, Discovery::Push));
+fn rules_hold_without_second_copies_and_with_pushed_lists() {
+    check_random_sequences(settings(false, true, Discovery::Push));
 }
 
 #[test]
-fn rules_hold_with_copies_where_the_list_is_asked_for() {
-    check(settings(true, true, Discovery::Ask));
+fn rules_hold_with_second_copies_and_requested_lists() {
+    check_random_sequences(settings(true, true, Discovery::Ask));
 }
 
 #[test]
-fn rules_hold_where_nothing_can_be_cancelled() {
-    check(settings(true, false, Discovery::Push));
+fn rules_hold_without_cancelling() {
+    check_random_sequences(settings(true, false, Discovery::Push));
 }
--- a/crates/balance/tests/rules.rs
+++ b/crates/balance/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The four rules, each by itself, driving the module alone.
+//! The four rules, each tested by itself.
 
 mod support;
 use curlewhub_balance::*;
@@ -9,7 +9,7 @@
     Semantics::Keyed { group: DeduplicationScope::Cell, window: Duration::from_millis(400) };
 
 #[test]
-fn rule_1_a_request_nobody_can_take_is_answered_in_time() {
+fn rule_1_a_request_that_no_endpoint_can_take_is_answered_in_time() {
     let mut d = Driver::new(Settings::default(), vec![]);
     let (id, actions) = d.request(ms(300));
     assert!(sends(&actions).is_empty());
@@ -18,11 +18,11 @@
 }
 
 #[test]
-fn rule_1_the_deadline_answers_a_request_whose_attempt_is_still_out() {
+fn rule_1_a_request_is_answered_at_its_deadline_while_its_attempt_is_in_flight() {
     let mut d = Driver::new(with_class(Semantics::Unsafe), endpoints(2));
     let (id, actions) = d.request(ms(300));
     assert_eq!(sends(&actions).len(), 1);
-    assert!(failed(&d.advance(ms(301)), id), "unsafe and perhaps run: a failure, never a refusal");
+    assert!(failed(&d.advance(ms(301)), id), "unsafe, and it may have run: a failure, never a refusal");
 }
 
 #[test]
@@ -30,156 +30,163 @@
     let mut d = Driver::new(Settings::default(), endpoints(3));
     let (id, _) = d.request(ms(300));
     d.feed(Event::RequestAbandoned(id));
-    assert!(sends(&d.end(id, Outcome::Cancelled, ms(1))).is_empty());
+    assert!(sends(&d.end_attempt(id, Outcome::Cancelled, ms(1))).is_empty());
     assert!(sends(&d.advance(ms(400))).is_empty());
 }
 
 #[test]
-fn rule_2_unsafe_is_sent_again_only_if_it_never_ran() {
+fn rule_2_an_unsafe_request_is_retried_only_if_it_never_ran() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::LocalFault] {
         let mut d = Driver::new(with_class(Semantics::Unsafe), endpoints(3));
         let (id, _) = d.request(ms(900));
-        assert_eq!(sends(&d.end(id, outcome, ms(1))).len(), 1, "{outcome:?} proves that it never ran");
+        assert_eq!(
+            sends(&d.end_attempt(id, outcome, ms(1))).len(),
+            1,
+            "{outcome:?} proves that it never ran"
+        );
     }
     for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
         let mut d = Driver::new(with_class(Semantics::Unsafe), endpoints(3));
         let (id, _) = d.request(ms(900));
-        let actions = d.end(id, outcome, ms(1));
+        let actions = d.end_attempt(id, outcome, ms(1));
         assert!(sends(&actions).is_empty() && failed(&actions, id), "{outcome:?} may have run");
     }
 }
 
 #[test]
-fn rule_2_keyed_stays_in_its_cell_and_its_window() {
+fn rule_2_a_keyed_request_is_retried_only_in_its_cell_and_its_window() {
     let list: Vec<EndpointInfo> =
         (1..=6).map(|id| EndpointInfo { cell: CellId(id % 2), ..endpoint(id) }).collect();
     for seed in 0..20 {
         let mut d = Driver::seeded(with_class(KEYED_CELL), list.clone(), seed);
         let (id, first) = d.request(ms(1500));
-        let again = d.end(id, Outcome::Error, ms(5));
+        let again = d.end_attempt(id, Outcome::Error, ms(5));
         assert_eq!(sends(&first)[0].0 % 2, sends(&again)[0].0 % 2, "the same cell");
         d.advance(ms(450));
-        let last = d.end(id, Outcome::Error, ms(445));
+        let last = d.end_attempt(id, Outcome::Error, ms(445));
         assert!(sends(&last).is_empty() && failed(&last, id), "the window is over");
     }
 }
 
 #[test]
-fn rule_2_keyed_by_zone_stays_in_its_zone() {
+fn rule_2_a_request_keyed_by_zone_is_retried_only_in_its_zone() {
     let list: Vec<EndpointInfo> =
         (1..=6).map(|id| EndpointInfo { zone: ZoneId((id % 2) as u32), ..endpoint(id) }).collect();
     for seed in 0..20 {
         let keyed = Semantics::Keyed { group: DeduplicationScope::Zone, window: ms(5000) };
         let mut d = Driver::seeded(with_class(keyed), list.clone(), seed);
         let (id, first) = d.request(ms(900));
-        let again = d.end(id, Outcome::Reset, ms(5));
+        let again = d.end_attempt(id, Outcome::Reset, ms(5));
         assert_eq!(sends(&first)[0].0 % 2, sends(&again)[0].0 % 2, "the same zone");
     }
 }
 
 #[test]
-fn rule_3_nothing_new_goes_to_a_draining_endpoint() {
+fn rule_3_no_new_attempt_goes_to_a_draining_endpoint() {
     let mut d = Driver::new(Settings::default(), endpoints(3));
     let draining = EndpointInfo { state: EndpointState::Draining, ..endpoint(2) };
-    d.list(Membership::Delta(vec![draining]));
+    d.update_list(Membership::Delta(vec![draining]));
     for _ in 0..30 {
         let (id, actions) = d.request(ms(900));
         assert!(!sends(&actions).contains(&EndpointId(2)));
-        d.end(id, Outcome::Ok, ms(10));
+        d.end_attempt(id, Outcome::Ok, ms(10));
     }
 }
 
 #[test]
-fn rule_3_what_a_complete_list_leaves_out_is_gone() {
+fn rule_3_an_endpoint_missing_from_a_complete_list_is_gone() {
     let mut d = Driver::new(Settings::default(), endpoints(4));
-    d.list(Membership::Full(endpoints(2)));
+    d.update_list(Membership::Full(endpoints(2)));
     for _ in 0..30 {
         let (id, actions) = d.request(ms(900));
         assert!(sends(&actions)[0].0 <= 2);
-        d.end(id, Outcome::Ok, ms(10));
+        d.end_attempt(id, Outcome::Ok, ms(10));
     }
 }
 
 #[test]
-fn rule_3_a_fleet_that_drains_whole_gets_nothing() {
+fn rule_3_nothing_is_sent_while_all_endpoints_drain() {
     let mut d = Driver::new(Settings::default(), endpoints(3));
     let draining = |id| EndpointInfo { state: EndpointState::Draining, ..endpoint(id) };
-    d.list(Membership::Full((1..=3).map(draining).collect()));
+    d.update_list(Membership::Full((1..=3).map(draining).collect()));
     let (id, actions) = d.request(ms(200));
     assert!(sends(&actions).is_empty());
     assert!(refused(&d.advance(ms(210)), id));
 }
 
-/// Serves 60 requests a second, one at a time.
-fn pace(d: &mut Driver, requests: usize) {
+/// Serves requests one at a time, 15 ms each: about 66 a second.
+fn serve_steadily(d: &mut Driver, requests: usize) {
     for _ in 0..requests {
         let (id, _) = d.request(ms(900));
         d.advance(ms(15));
-        if d.out.iter().any(|o| o.0 == id) {
-            d.end(id, Outcome::Ok, ms(15));
+        if d.in_flight.iter().any(|o| o.0 == id) {
+            d.end_attempt(id, Outcome::Ok, ms(15));
         }
     }
 }
 
-/// The sends to the cold endpoint in its first seconds, beside three warm ones that serve 60 requests a second.
+/// The sends to a cold endpoint in its first second, beside three warm ones that serve about 66 requests a
+/// second in all.
 fn cold_sends_in_first_second(balancers: u32) -> usize {
     let settings = Settings { balancers, ..Settings::default() };
     let window = settings.rules.fall_after;
     let mut d = Driver::new(settings, endpoints(3));
-    pace(&mut d, 600);
+    serve_steadily(&mut d, 600);
     let started = d.now;
-    d.list(Membership::Delta(vec![EndpointInfo { started: Some(started), ..endpoint(4) }]));
-    pace(&mut d, 80);
+    d.update_list(Membership::Delta(vec![EndpointInfo { started: Some(started), ..endpoint(4) }]));
+    serve_steadily(&mut d, 80);
     let sent = d.checker.cold_sends.remove(&EndpointId(4)).unwrap_or_default();
     sent.iter().filter(|at| **at < started + window).count()
 }
 
 #[test]
-fn rule_4_a_cold_endpoint_gets_less_than_would_fell_it() {
-    // Three warm endpoints serve about 22 a second each; a quarter of that, doubled, fells the cold one.
+fn rule_4_a_cold_endpoint_gets_less_than_would_overload_it() {
+    // Three warm endpoints serve about 22 requests a second each; a quarter of that, doubled, overloads the
+    // cold one.
     let sent = cold_sends_in_first_second(1);
-    assert!(sent >= 1, "a cold endpoint must get something, or it never counts");
+    assert!(sent >= 1, "a cold endpoint must get some calls, or it is never used");
     assert!(sent < 11, "{sent} sends in the first second");
 }
 
 #[test]
-fn cold_endpoints_get_their_part_of_what_the_warm_ones_bear_now() {
-    // Of twelve that served 5 a second each, nine start again: the three left bear four times as much, and what
-    // each cold one may get goes by that, and not by what all twelve would make of it.
+fn cold_endpoints_get_calls_by_the_current_load_of_the_warm_ones() {
+    // Of twelve endpoints that served 5 requests a second each, nine restart: the three others serve four
+    // times as many, and the budget of each cold one follows that rate and not the one that all twelve
+    // would have.
     let settings = Settings { balancers: 4, ..Settings::default() };
     let mut d = Driver::new(settings, endpoints(12));
-    pace(&mut d, 600);
+    serve_steadily(&mut d, 600);
     let started = Some(d.now);
-    d.list(Membership::Delta((4..=12).map(|id| EndpointInfo { started, ..endpoint(id) }).collect()));
-    pace(&mut d, 200);
+    d.update_list(Membership::Delta((4..=12).map(|id| EndpointInfo { started, ..endpoint(id) }).collect()));
+    serve_steadily(&mut d, 200);
     let cold: usize = d.checker.cold_sends.values().map(Vec::len).sum();
     assert!(cold > 70, "{cold} of 200");
 }
 
 #[test]
-fn rule_4_holds_when_the_whole_fleet_is_cold() {
+fn rule_4_holds_when_all_endpoints_are_cold() {
     let mut d = Driver::new(Settings::default(), vec![]);
     let now = d.now;
     let cold = |id| EndpointInfo { started: Some(now), ..endpoint(id) };
-    d.list(Membership::Full((1..=4).map(cold).collect()));
+    d.update_list(Membership::Full((1..=4).map(cold).collect()));
     let mut served = 0;
     for _ in 0..100 {
         d.request(ms(900));
         d.advance(ms(10));
-        for out in std::mem::take(&mut d.out) {
-            d.out.push(out);
-            d.end(out.0, Outcome::Ok, ms(10));
+        for attempt in std::mem::take(&mut d.in_flight) {
+            d.in_flight.push(attempt);
+            d.end_attempt(attempt.0, Outcome::Ok, ms(10));
             served += 1;
         }
     }
-    assert!(served > 10, "the fleet is never left without work: {served}");
+    assert!(served > 10, "cold endpoints alone must still serve: {served}");
     for sends in d.checker.cold_sends.values() {
-        assert!(sends.len() < 50, "no endpoint takes half of what came");
+        assert!(sends.len() < 50, "no endpoint gets half of the requests");
     }
 }
 
 #[test]
-fn discovery_is_asked_with_jitter_and_again_after_failures() {
+fn discovery_is_called_with_jitter_and_again_after_failures() {
     let settings = Settings { discovery: Discovery::Ask, ..Settings::default() };
     let ask_within = settings.rules.ask_within;
     let mut waits = Vec::new();
@@ -189,20 +196,20 @@
         assert!(first < ask_within);
         waits.push(first);
         assert!(d.advance(ask_within).contains(&Action::Watch(true)));
-        d.list(Membership::Failed);
-        assert!(d.advance(ask_within).contains(&Action::Watch(true)), "a failed call is made again");
-        d.list(Membership::Delta(vec![]));
+        d.update_list(Membership::Failed);
+        assert!(d.advance(ask_within).contains(&Action::Watch(true)), "a failed call is repeated");
+        d.update_list(Membership::Delta(vec![]));
         assert!(
             !d.advance(ask_within * 3).contains(&Action::Watch(true)),
             "a standing watch is not renewed"
         );
     }
     waits.dedup();
-    assert!(waits.len() > 1, "instances that start together do not ask together");
+    assert!(waits.len() > 1, "instances that start together do not call discovery together");
 }
 
 #[test]
-fn rule_2_a_job_that_may_have_run_before_goes_to_where_it_ran_or_nowhere() {
+fn rule_2_a_request_that_may_have_run_earlier_goes_to_the_zone_where_it_ran_or_fails() {
     let zoned = Semantics::Keyed { group: DeduplicationScope::Zone, window: ms(400) };
     let list: Vec<EndpointInfo> =
         (1..=6).map(|id| EndpointInfo { zone: ZoneId(id as u32 % 2), ..endpoint(id) }).collect();
@@ -212,7 +219,11 @@
         let earlier = |zone| Some(EarlierAttempt { zone: ZoneId(zone), cell: CellId(0), sent: d.now });
         let (odd, nowhere) = (earlier(1), earlier(7));
         let sent = d.feed(Event::Request(Request { earlier_attempt: odd, ..request.clone() }));
-        assert_eq!(sends(&sent)[0].0 % 2, 1, "not to its own zone, where nobody knows the key");
+        assert_eq!(
+            sends(&sent)[0].0 % 2,
+            1,
+            "not to the balancer's own zone, where no endpoint knows the key"
+        );
         let lost = RequestId(901);
         let held = d.feed(Event::Request(Request { id: lost, earlier_attempt: nowhere, ..request }));
         assert!(sends(&held).is_empty());
@@ -224,14 +235,14 @@
 }
 
 #[test]
-fn a_hundred_balancers_come_back_to_a_restarted_endpoint_one_after_another() {
+fn a_hundred_balancers_return_to_a_restarted_endpoint_at_different_times() {
     let first_call = |seed: u64| {
         let mut d = Driver::seeded(Settings { balancers: 100, ..Settings::default() }, endpoints(2), seed);
-        rounds(&mut d, 50, |_| (Outcome::Ok, 100));
-        d.list(Membership::Delta(vec![EndpointInfo { started: Some(d.now), ..endpoint(2) }]));
-        (1..400).find(|_| rounds(&mut d, 1, |_| (Outcome::Ok, 50)).contains_key(&EndpointId(2)))
+        run_requests(&mut d, 50, |_| (Outcome::Ok, 100));
+        d.update_list(Membership::Delta(vec![EndpointInfo { started: Some(d.now), ..endpoint(2) }]));
+        (1..400).find(|_| run_requests(&mut d, 1, |_| (Outcome::Ok, 50)).contains_key(&EndpointId(2)))
     };
     let mut firsts: Vec<_> = (0..100).map(|seed| first_call(seed).expect("it is used again")).collect();
     firsts.sort();
-    assert!(firsts[10] * 3 < firsts[90], "their calls come together: {firsts:?}");
+    assert!(firsts[10] * 3 < firsts[90], "their first calls come at about the same time: {firsts:?}");
 }
--- a/crates/balance/tests/shape.rs
+++ b/crates/balance/tests/shape.rs
@@ -1,6 +1,7 @@
-//! The decision files: short enough to be read whole, and narrow; they know no wire.
+//! Limits on the files that make the balancing decisions: they are short enough to be read whole, their
+//! lines are not too wide, and they don't use the simulator's adapter.
 
-const DECISIONS: [&str; 7] = [
+const POLICY_FILES: [&str; 7] = [
     include_str!("../src/balance.rs"),
     include_str!("../src/balance/attempts.rs"),
     include_str!("../src/balance/choice.rs"),
@@ -11,25 +12,26 @@
 ];
 
 #[test]
-fn each_policy_file_is_short_enough_to_be_read_whole() {
+fn each_policy_file_stays_within_the_line_limit() {
     let named =
         include_str!("../../../deploy/balancer.toml").lines().find(|line| line.starts_with("policy"));
     let named = named.map(|line| line.matches(".rs").count());
-    assert_eq!(named, Some(DECISIONS.len()), "all of them are counted here");
-    // The operators have withdrawn the limit on all files together; no one file outgrows the longest of them.
-    for file in DECISIONS {
+    assert_eq!(named, Some(POLICY_FILES.len()), "all files of the policy are checked here");
+    // The limit on the total length of all files was withdrawn; no file may grow beyond the longest of
+    // them.
+    for file in POLICY_FILES {
         assert!(file.lines().count() <= 345, "{}", file.lines().next().unwrap_or_default());
     }
 }
 
 #[test]
-fn no_line_is_too_wide() {
-    for (number, line) in DECISIONS.iter().flat_map(|file| file.lines()).enumerate() {
+fn no_line_exceeds_the_width_limit() {
+    for (number, line) in POLICY_FILES.iter().flat_map(|file| file.lines()).enumerate() {
         assert!(line.chars().count() <= 110, "line {} is too wide: {line}", number + 1);
     }
 }
 
 #[test]
-fn they_do_not_know_the_wire() {
-    assert!(DECISIONS.iter().all(|file| !file.contains("curlewhub_adapter")));
+fn the_policy_files_do_not_use_the_adapter() {
+    assert!(POLICY_FILES.iter().all(|file| !file.contains("curlewhub_adapter")));
 }
--- a/crates/balance/tests/windows.rs
+++ b/crates/balance/tests/windows.rs
@@ -1,178 +1,196 @@
-//! How many calls one balancer has out, and what late answers do to that.
+//! How many calls one balancer has in flight (its window), and how late answers reduce that.
 
 mod support;
 use curlewhub_balance::*;
 use support::*;
 
 #[test]
-fn late_answers_shrink_what_is_out() {
-    // i273a8c: sixty balancers, each with a call at every endpoint, jammed a tier together.
+fn late_answers_shrink_the_window() {
+    // Guards against sixty balancers that overload a tier together, each with a call at every endpoint
+    // (i273a8c).
     let settings = Settings { balancers: 60, ..Settings::default() };
     let mut d = Driver::new(settings, endpoints(8));
-    d.fill();
+    d.send_until_held();
     for _ in 0..200 {
-        let id = d.out[0].0;
+        let id = d.in_flight[0].0;
         d.advance(ms(5));
-        d.end(id, Outcome::Ok, ms(1500));
+        d.end_attempt(id, Outcome::Ok, ms(1500));
         d.request(ms(60_000));
     }
     assert_eq!(
-        d.out.len(),
+        d.in_flight.len(),
         1,
         "sixty balancers with a call each are plenty for eight endpoints that answer late"
     );
 }
 
 #[test]
-fn late_answers_leave_each_balancer_its_part() {
-    // i1f175a: the balancers that started first were starved by those that had measured a crowd.
+fn late_answers_leave_each_balancer_its_part_of_the_calls() {
+    // Guards against balancers that started first and are starved by those that have measured crowded
+    // endpoints (i1f175a).
     let settings = Settings { balancers: 5, ..Settings::default() };
     let mut d = Driver::new(settings, endpoints(30));
-    out_after(&mut d, 100, 10);
-    let left = out_after(&mut d, 400, 900);
-    assert!((6..=7).contains(&left), "{left} calls out: thirty endpoints over five balancers are six");
+    in_flight_after(&mut d, 100, 10);
+    let left = in_flight_after(&mut d, 400, 900);
+    assert!(
+        (6..=7).contains(&left),
+        "{left} calls in flight: thirty endpoints over five balancers are six"
+    );
 }
 
 #[test]
-fn a_large_window_gains_less_than_a_small_one() {
+fn a_large_window_grows_more_slowly_than_a_small_one() {
     let growth = |timely: usize| {
         let settings = Settings { balancers: 10, ..Settings::default() };
         let mut d = Driver::new(settings, endpoints(60));
-        out_after(&mut d, 30, 10);
-        out_after(&mut d, 60, 900); // ends the opening and leaves the window small
-        let before = out_after(&mut d, timely, 10);
-        out_after(&mut d, 120, 10) - before
+        in_flight_after(&mut d, 30, 10);
+        in_flight_after(&mut d, 60, 900); // ends the fast growth at the start and leaves the window small
+        let before = in_flight_after(&mut d, timely, 10);
+        in_flight_after(&mut d, 120, 10) - before
     };
     let (early, late) = (growth(1), growth(1200));
     assert!(late * 2 <= early, "120 timely answers added {early} calls at first, {late} to a large window");
 }
 
 #[test]
-fn a_jam_that_lasts_does_not_pass_for_normal() {
-    // ib8145a: the unhurried mean rose with each answer, from 84 to 146 ms in half a minute of jam.
+fn lasting_overload_does_not_count_as_normal_latency() {
+    // Guards against a mean of normal latency that rises with each answer: it went from 84 to 146 ms in
+    // half a minute of overload (ib8145a).
     let settings = Settings { balancers: 5, ..Settings::default() };
     let mut d = Driver::new(settings, endpoints(30));
-    out_after(&mut d, 100, 10);
+    in_flight_after(&mut d, 100, 10);
     for _ in 0..3000 {
         d.advance(ms(3));
-        out_after(&mut d, 1, 100);
+        in_flight_after(&mut d, 1, 100);
     }
-    assert!(d.out.len() <= 7, "{} calls out after nine seconds of answers ten times as slow", d.out.len());
+    assert!(
+        d.in_flight.len() <= 7,
+        "{} calls in flight after nine seconds of answers ten times as slow",
+        d.in_flight.len()
+    );
 }
 
 #[test]
-fn a_balancer_that_carries_most_of_the_traffic_may_use_the_fleet() {
-    // Its part of one call an endpoint is the least a window falls to, not the most it may grow to.
+fn a_balancer_with_most_of_the_traffic_may_use_all_endpoints() {
+    // Its part of one call per endpoint is the minimum of its window, not the maximum.
     let settings = Settings { balancers: 10, ..Settings::default() };
     let mut d = Driver::new(settings, endpoints(40));
-    out_after(&mut d, 20, 10);
-    out_after(&mut d, 1, 900); // ends the opening
-    let out = out_after(&mut d, 2500, 10);
-    assert!(out > 80, "{out} calls out where forty endpoints answer in time");
+    in_flight_after(&mut d, 20, 10);
+    in_flight_after(&mut d, 1, 900); // ends the fast growth at the start
+    let in_flight = in_flight_after(&mut d, 2500, 10);
+    assert!(in_flight > 80, "{in_flight} calls in flight where forty endpoints answer in time");
 }
 
-/// The zone of an endpoint of `three_zones` is the balancer's own.
-fn at_home(to: EndpointId) -> bool {
+/// Whether an endpoint of `three_zones` is in the balancer's own zone.
+fn in_own_zone(to: EndpointId) -> bool {
     to.0.is_multiple_of(3)
 }
 
 #[test]
-fn a_crowded_zone_does_not_shut_the_others() {
-    // prairie-parts at full size: late answers of the own zone held back what others had room for.
+fn late_answers_of_one_zone_do_not_hold_back_calls_to_others() {
+    // Guards against late answers of the own zone that hold back calls which other zones have capacity for
+    // (prairie-parts at full size).
     let settings = Settings { balancers: 4, ..Settings::default() };
     let mut d = Driver::new(settings, three_zones());
     for _ in 0..400 {
-        d.fill();
-        let (id, to) = (d.out[0].0, d.out[0].2);
-        d.end(id, Outcome::Ok, ms(if at_home(to) { 900 } else { 10 }));
+        d.send_until_held();
+        let (id, to) = (d.in_flight[0].0, d.in_flight[0].2);
+        d.end_attempt(id, Outcome::Ok, ms(if in_own_zone(to) { 900 } else { 10 }));
     }
-    d.fill();
-    let away = d.out.iter().filter(|o| !at_home(o.2)).count();
-    assert!(away >= 6, "{away} calls out in zones that answer in time");
+    d.send_until_held();
+    let away = d.in_flight.iter().filter(|o| !in_own_zone(o.2)).count();
+    assert!(away >= 6, "{away} calls in flight in zones that answer in time");
 }
 
 #[test]
-fn many_balancers_do_not_open_with_a_jam() {
-    // i9329e9: 203 balancers, each with a window of eight, put twenty calls on each of 67 endpoints.
-    let first_out = |balancers: u32| {
+fn many_balancers_do_not_overload_endpoints_at_their_start() {
+    // Guards against 203 balancers that start with a window of eight each and so put twenty calls on each
+    // of 67 endpoints (i9329e9).
+    let first_calls = |balancers: u32| {
         let mut d = Driver::new(Settings { balancers, ..Settings::default() }, endpoints(64));
-        d.fill();
-        d.out.len()
+        d.send_until_held();
+        d.in_flight.len()
     };
-    assert!(first_out(200) <= 2, "{} calls of each of 200 balancers", first_out(200));
-    assert!(first_out(4) >= 16, "{} calls of each of 4 balancers", first_out(4));
+    assert!(first_calls(200) <= 2, "{} calls of each of 200 balancers", first_calls(200));
+    assert!(first_calls(4) >= 16, "{} calls of each of 4 balancers", first_calls(4));
 }
 
 #[test]
-fn windows_of_many_balancers_open_by_parts_of_a_call() {
-    // i5318be: windows that doubled each round trip put thirty calls on each endpoint within four seconds.
+fn windows_of_many_balancers_grow_by_fractions_of_a_call() {
+    // Guards against windows that double each round trip: they put thirty calls on each endpoint within
+    // four seconds (i5318be).
     let grown = |balancers: u32| {
         let mut d = Driver::new(Settings { balancers, ..Settings::default() }, endpoints(20));
-        d.fill();
-        let before = d.out.len();
-        out_after(&mut d, 20, 10) - before
+        d.send_until_held();
+        let before = d.in_flight.len();
+        in_flight_after(&mut d, 20, 10) - before
     };
-    assert!(grown(100) <= 5, "{} calls more out of each of 100 balancers", grown(100));
-    assert!(grown(2) >= 12, "{} calls more out of each of 2 balancers", grown(2));
+    assert!(grown(100) <= 5, "{} more calls in flight of each of 100 balancers", grown(100));
+    assert!(grown(2) >= 12, "{} more calls in flight of each of 2 balancers", grown(2));
 }
 
 #[test]
-fn a_jam_shows_before_twenty_answers_have_come() {
-    // i5318be: each of many balancers had seen ten answers when the first tier was jammed, and judged none.
+fn overload_is_noticed_before_twenty_answers_have_come() {
+    // Guards against judging too late: each of many balancers had seen ten answers when the first tier was
+    // overloaded, and had judged none of them (i5318be).
     let mut d = Driver::new(Settings { balancers: 10, ..Settings::default() }, endpoints(60));
-    out_after(&mut d, 6, 20);
-    let before = d.out.len();
-    // A fifth of the objective, five times what an answer took: late.
-    let after = out_after(&mut d, 8, 100);
-    assert!(after + 2 <= before, "{before} calls out before the jam, {after} in it");
+    in_flight_after(&mut d, 6, 20);
+    let before = d.in_flight.len();
+    // A fifth of the objective, but five times the earlier answer time: late.
+    let after = in_flight_after(&mut d, 8, 100);
+    assert!(after + 2 <= before, "{before} calls in flight before the overload, {after} in it");
 }
 
 #[test]
-fn clients_that_leave_a_jam_count_as_late_answers() {
-    let calls_out = |left_after: u64| {
+fn clients_that_leave_late_count_as_late_answers() {
+    let in_flight = |left_after: u64| {
         let mut d = Driver::new(Settings { balancers: 4, ..Settings::default() }, endpoints(40));
-        out_after(&mut d, 100, 20);
+        in_flight_after(&mut d, 100, 20);
         for _ in 0..60 {
-            d.fill();
-            let id = d.out[0].0;
+            d.send_until_held();
+            let id = d.in_flight[0].0;
             d.feed(Event::RequestAbandoned(id));
-            d.end(id, Outcome::Cancelled, ms(left_after));
+            d.end_attempt(id, Outcome::Cancelled, ms(left_after));
         }
-        d.fill();
-        d.out.len()
+        d.send_until_held();
+        d.in_flight.len()
     };
-    let (late, early) = (calls_out(900), calls_out(5));
-    assert!(late + 10 < early, "{late} calls out after late leavers, {early} after early ones");
+    let (late, early) = (in_flight(900), in_flight(5));
+    assert!(
+        late + 10 < early,
+        "{late} calls in flight after clients left late, {early} after they left early"
+    );
 }
 
 #[test]
-fn windows_at_their_floors_share_what_endpoints_can_hold() {
-    // ia69222: 790 balancers, each with a floor of one call in either zone, put 26 calls on each of 61 servers.
+fn windows_at_their_minimum_divide_the_capacity_of_endpoints() {
+    // Guards against 790 balancers that, with a minimum of one call in either zone each, put 26 calls on
+    // each of 61 servers (ia69222).
     let left = |balancers: u32| {
         let mut d = Driver::new(Settings { balancers, ..Settings::default() }, three_zones());
         for _ in 0..60 {
-            d.fill();
-            let id = d.out[0].0;
-            d.end(id, Outcome::Ok, ms(1500));
+            d.send_until_held();
+            let id = d.in_flight[0].0;
+            d.end_attempt(id, Outcome::Ok, ms(1500));
         }
-        d.fill();
-        d.out.len()
+        d.send_until_held();
+        d.in_flight.len()
     };
-    assert_eq!(left(100), 1, "a hundred balancers hold a hundred calls at six endpoints");
-    assert_eq!(left(20), 2, "twenty may hold one in the own zone and one elsewhere");
+    assert_eq!(left(100), 1, "a hundred balancers have a hundred calls at six endpoints");
+    assert_eq!(left(20), 2, "each of twenty may have one in the own zone and one elsewhere");
 }
 
 #[test]
-fn a_window_that_lies_idle_is_no_leave_for_all_load_at_once() {
+fn an_idle_window_shrinks_and_limits_a_later_burst() {
     let burst = |answers: usize| {
         let mut d = Driver::new(Settings { balancers: 10, ..Settings::default() }, endpoints(40));
-        out_after(&mut d, 400, 10); // grown while all was well
-        while let Some(&(id, ..)) = d.out.first() {
-            d.end(id, Outcome::Ok, ms(10));
+        in_flight_after(&mut d, 400, 10); // the window grows, as all answers are timely
+        while let Some(&(id, ..)) = d.in_flight.first() {
+            d.end_attempt(id, Outcome::Ok, ms(10));
         }
-        rounds(&mut d, answers, |_| (Outcome::Ok, 10));
+        run_requests(&mut d, answers, |_| (Outcome::Ok, 10));
         (0..200).map(|_| sends(&d.request(ms(60_000)).1).len()).sum::<usize>()
     };
-    assert!(burst(0) > 12, "a crowd that all endpoints bore");
-    assert_eq!(burst(200), 8, "four endpoints a balancer, two calls at each");
+    assert!(burst(0) > 12, "as many as all endpoints have served in time");
+    assert_eq!(burst(200), 8, "four endpoints for each balancer, two calls at each");
 }
