--- a/crates/curlewhub/src/member.rs
+++ b/crates/curlewhub/src/member.rs
@@ -15,7 +15,7 @@
 use curlewhub_runtime::call_observer::{AttemptId, CallObserver, NoObserver};
 use curlewhub_runtime::clock::Clock;
 use curlewhub_runtime::events::Command;
-use curlewhub_runtime::figures::{Beside, Figures};
+use curlewhub_runtime::figures::{ExternalMetric, Metrics};
 use curlewhub_zone_failover::zone_policy::ZoneAccess;
 use curlewhub_zone_failover::zone_states::tier_zone;
 use std::cell::RefCell;
@@ -74,7 +74,7 @@
 
 /// Puts decisions of the consensus servers into force in this sidecar, and reports its standing in the figures.
 struct DecisionHandler {
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     commands: UnboundedSender<Command>,
     clock: Clock,
     /// The names of the zones, by zone id.
@@ -173,8 +173,8 @@
 
     fn status_changed(&mut self, status: SubscriberStatus) {
         let (sent_bytes, received_bytes) = status.traffic;
-        let gauge = |name, value| Beside { name, value, counts: false };
-        let count = |name, value| Beside { name, value, counts: true };
+        let gauge = |name, value| ExternalMetric { name, value, is_counter: false };
+        let count = |name, value| ExternalMetric { name, value, is_counter: true };
         let mut figures = vec![gauge("fleet_version", status.version)];
         // Without a message of a consensus server since the start the age is unknown.
         figures.extend(status.age.map(|age| gauge("fleet_age_ms", age.as_millis() as u64)));
@@ -195,7 +195,7 @@
             count("fleet_heard_messages", self.messages.messages_in),
             count("fleet_lost_messages", self.lost_messages),
         ]);
-        self.figures.beside(figures);
+        self.figures.set_external(figures);
     }
 }
 
@@ -235,7 +235,7 @@
 /// Joins the fleet of the configuration, if there is one. A sidecar serves also if that fails.
 pub fn join(
     config: &Config,
-    figures: &Rc<Figures>,
+    figures: &Rc<Metrics>,
     commands: &UnboundedSender<Command>,
     clock: Clock,
     reloader: Rc<Reloader>,
--- a/crates/curlewhub/src/reload.rs
+++ b/crates/curlewhub/src/reload.rs
@@ -4,7 +4,7 @@
 use curlewhub_config::{ConfigChange, LoadedConfig};
 use curlewhub_control_plane::configuration::SettingValues;
 use curlewhub_runtime::events::Call;
-use curlewhub_runtime::figures::Figures;
+use curlewhub_runtime::figures::Metrics;
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedSender;
@@ -13,7 +13,7 @@
 /// Owns the configuration in force and passes changes on to discovery and the log.
 pub struct Reloader {
     loaded: RefCell<LoadedConfig>,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     calls: UnboundedSender<Call>,
     log: LogControl,
 }
@@ -22,7 +22,7 @@
     /// Starts with the configuration that the sidecar was started with.
     pub fn new(
         loaded: LoadedConfig,
-        figures: Rc<Figures>,
+        figures: Rc<Metrics>,
         calls: UnboundedSender<Call>,
         log: LogControl,
     ) -> Rc<Reloader> {
@@ -34,11 +34,11 @@
         let reloaded = self.loaded.borrow_mut().reload();
         match reloaded {
             Ok(change) => {
-                self.figures.reconfigured(true);
+                self.figures.record_reconfiguration(true);
                 self.apply(change);
             }
             Err(problems) => {
-                self.figures.reconfigured(false);
+                self.figures.record_reconfiguration(false);
                 for problem in &problems.0 {
                     error!(%problem, "reload");
                 }
--- a/crates/curlewhub/src/serve.rs
+++ b/crates/curlewhub/src/serve.rs
@@ -15,7 +15,7 @@
 use curlewhub_runtime::driver::{Driver, Parts};
 use curlewhub_runtime::endpoint_bans::EndpointBans;
 use curlewhub_runtime::events::{Call, Command, Commands, Inbox, Input};
-use curlewhub_runtime::figures::Figures;
+use curlewhub_runtime::figures::Metrics;
 use curlewhub_runtime::handover::protocol::Connection;
 use curlewhub_runtime::handover::{self, HandedOver, Handover};
 use curlewhub_runtime::idempotency_keys::IdempotencyKeys;
@@ -70,7 +70,7 @@
     clock: Clock,
     balancer: Balancer,
     budget: Rc<Budget>,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     lifecycle: Rc<Lifecycle>,
     handover: Rc<Handover>,
     commands: Commands,
@@ -82,7 +82,7 @@
         let clock = Clock::start();
         let balancer = Balancer::new(config.settings.clone(), config.seed, clock.now())?;
         let budget = Budget::new(config.sockets, config.memory_mb);
-        let figures = Figures::new(config.names.classes.iter().map(|class| class.name.clone()));
+        let figures = Metrics::new(config.names.classes.iter().map(|class| class.name.clone()));
         let lifecycle = Lifecycle::new(longest_deadline(config));
         let (commands, command_queue) = mpsc::unbounded_channel();
         let handover = Handover::new(
@@ -320,7 +320,7 @@
     config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
 }
 
-fn new_outbound(config: &Config, budget: &Rc<Budget>, figures: &Rc<Figures>) -> Rc<Outbound> {
+fn new_outbound(config: &Config, budget: &Rc<Budget>, figures: &Rc<Metrics>) -> Rc<Outbound> {
     let terms =
         QuotaSettings { sidecars: config.settings.balancers, endpoint_limit: config.endpoint_connections };
     let slots = Slots::new(terms, config.seed);
@@ -332,13 +332,13 @@
     clock: Clock,
     commands: Commands,
     inbox: Inbox,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
 ) -> Rc<LearnedState> {
     let store = Store::new(&config.state_dir, config.listen);
     LearnedState::new(clock, fingerprint(&config.settings), store, commands, inbox, figures)
 }
 
-fn open_idempotency_keys(config: &Config, clock: Clock, figures: Rc<Figures>) -> IdempotencyKeys {
+fn open_idempotency_keys(config: &Config, clock: Clock, figures: Rc<Metrics>) -> IdempotencyKeys {
     let zones = &config.names.zones;
     IdempotencyKeys::open(&config.state_dir, config.listen, &config.settings, zones, figures, clock)
 }
--- a/crates/runtime/src/attempt_terms.rs
+++ b/crates/runtime/src/attempt_terms.rs
@@ -8,16 +8,16 @@
 use tokio::time::{Instant, sleep_until};
 
 /// How far an attempt has come: what is stopped before its last byte was handed over never ran.
-pub struct Progress {
+pub struct AttemptProgress {
     /// All of the request was handed over.
-    pub(super) whole: Rc<Cell<bool>>,
+    pub(super) fully_sent: Rc<Cell<bool>>,
     /// Of a request's attempt, and no probe.
-    pub(super) terms: Option<Terms>,
+    pub(super) conditions: Option<WriteConditions>,
 }
 
 /// What must hold as a request's first byte is written, whatever the attempt has waited for until then.
 #[derive(Clone)]
-pub struct Terms {
+pub struct WriteConditions {
     /// Its client is still there.
     pub client: Client,
     /// A repeat of what may have run begins by then; none where nothing has.
@@ -26,14 +26,14 @@
     pub time_left: TimeLeft,
 }
 
-impl Terms {
+impl WriteConditions {
     /// Whether they hold now.
     pub(super) fn hold(&self) -> bool {
         !self.client.has_gone() && self.begin_by.is_none_or(|by| Instant::now() < by)
     }
 
     /// Ends once they don't hold any more.
-    pub(super) async fn broken(&self) {
+    pub(super) async fn violated(&self) {
         tokio::select! {
             () = self.client.gone() => {}
             () = sleep_until(self.begin_by.unwrap_or_else(Instant::now)), if self.begin_by.is_some() => {}
@@ -41,19 +41,19 @@
     }
 }
 
-impl Progress {
-    /// An attempt of a request under these terms, of which nothing has been written.
-    pub fn of_request(terms: Terms) -> Self {
-        Progress { whole: Rc::default(), terms: Some(terms) }
+impl AttemptProgress {
+    /// An attempt of a request under these conditions, of which nothing has been written.
+    pub fn for_request(conditions: WriteConditions) -> Self {
+        AttemptProgress { fully_sent: Rc::default(), conditions: Some(conditions) }
     }
 
     /// A probe.
-    pub fn of_probe() -> Self {
-        Progress { whole: Rc::default(), terms: None }
+    pub fn for_probe() -> Self {
+        AttemptProgress { fully_sent: Rc::default(), conditions: None }
     }
 
     /// The outcome of no longer waiting: a request not written whole proves that it never ran.
-    pub fn given_up(&self) -> Outcome {
-        if self.whole.get() { Outcome::TimedOut } else { Outcome::ConnectFailed }
+    pub fn timeout_outcome(&self) -> Outcome {
+        if self.fully_sent.get() { Outcome::TimedOut } else { Outcome::ConnectFailed }
     }
 }
--- a/crates/runtime/src/budget.rs
+++ b/crates/runtime/src/budget.rs
@@ -85,13 +85,13 @@
             bodies,
             bodies_freed,
         });
-        budget.share(sockets, false);
+        budget.set_limits(sockets, false);
         budget
     }
 
     /// So many descriptors are this process's from now on, and half of the memory where another process
     /// has the other half. What is held beyond that is not taken back.
-    pub fn share(&self, sockets: usize, halved: bool) {
+    pub fn set_limits(&self, sockets: usize, halved: bool) {
         self.total.set(sockets.saturating_sub(RESERVE));
         // An attempt needs a socket too: clients must not take what their own requests go out on.
         let memory_kib = self.memory_mb.saturating_mul(1024) / if halved { 2 } else { 1 };
@@ -102,22 +102,22 @@
     }
 
     /// No more than are held now, and so many more, are this process's from now on.
-    pub fn hold(&self, more: usize) {
+    pub fn limit_to_current(&self, more: usize) {
         self.total.set(self.total.get().min(self.in_use() + more));
     }
 
     /// The descriptors that are this process's.
-    pub fn sockets(&self) -> usize {
+    pub fn socket_limit(&self) -> usize {
         self.total.get() + RESERVE
     }
 
     /// Whether more are held than may be.
-    pub fn over(&self) -> bool {
+    pub fn is_exceeded(&self) -> bool {
         self.in_use() > self.total.get()
     }
 
     /// A permit, if there is room for one.
-    pub fn take(self: &Rc<Self>, holder: Holder) -> Option<Permit> {
+    pub fn try_acquire(self: &Rc<Self>, holder: Holder) -> Option<Permit> {
         let room = match holder {
             Holder::Client => {
                 self.clients.get() < self.clients_most.get() && self.in_use() < self.total.get()
@@ -134,24 +134,24 @@
     }
 
     /// Memory for bytes of a body that are kept for a while, if there is some.
-    pub fn take_kept(self: &Rc<Self>, kib: usize) -> Option<Memory> {
-        self.take_memory(kib, self.bodies_most.get() * KEPT_QUARTERS / 4)
+    pub fn try_buffer_memory(self: &Rc<Self>, kib: usize) -> Option<Memory> {
+        self.try_take_memory(kib, self.bodies_most.get() * KEPT_QUARTERS / 4)
     }
 
     /// Memory for a body that flows, once there is some.
-    pub async fn wait_memory(self: &Rc<Self>, kib: usize) -> Memory {
+    pub async fn stream_memory(self: &Rc<Self>, kib: usize) -> Memory {
         loop {
             // Registered before the look, so that what comes free between the two is not missed.
             let mut freed = std::pin::pin!(self.bodies_freed.notified());
             freed.as_mut().enable();
-            if let Some(memory) = self.take_memory(kib, self.bodies_most.get()) {
+            if let Some(memory) = self.try_take_memory(kib, self.bodies_most.get()) {
                 return memory;
             }
             freed.await;
         }
     }
 
-    fn take_memory(self: &Rc<Self>, kib: usize, most: usize) -> Option<Memory> {
+    fn try_take_memory(self: &Rc<Self>, kib: usize, most: usize) -> Option<Memory> {
         let taken = self.bodies.get() + kib;
         (taken <= most).then(|| {
             self.bodies.set(taken);
@@ -160,12 +160,12 @@
     }
 
     /// Whether only the connections to endpoints stand in the way of one more client.
-    pub fn endpoints_crowd(&self) -> bool {
+    pub fn is_full_of_endpoints(&self) -> bool {
         self.clients.get() < self.clients_most.get() && self.in_use() >= self.total.get()
     }
 
     /// Whether clients hold three quarters of what they may.
-    pub fn clients_crowd(&self) -> bool {
+    pub fn is_crowded(&self) -> bool {
         self.clients.get() * 4 > self.clients_most.get() * 3
     }
 
@@ -175,7 +175,7 @@
     }
 
     /// Waits until a client's socket comes free.
-    pub async fn freed(&self) {
+    pub async fn client_released(&self) {
         self.freed.notified().await;
     }
 
--- a/crates/runtime/src/discovery/call.rs
+++ b/crates/runtime/src/discovery/call.rs
@@ -3,7 +3,7 @@
 use super::body::{BodyReader, Progress};
 use super::error::{CallError, Part};
 use super::trace::CallTrace;
-use crate::guard::Guard;
+use crate::guard::AbortOnDrop;
 use crate::interrupts::Uninterrupted;
 use curlewhub_config::list::EndpointList;
 use curlewhub_discovery_client::timing::{CALL_TIMEOUT, CONNECT_TIMEOUT};
@@ -160,7 +160,7 @@
         }
     }
 
-    async fn request(&mut self, path: &str) -> Result<(Response<Incoming>, Guard), CallError> {
+    async fn request(&mut self, path: &str) -> Result<(Response<Incoming>, AbortOnDrop), CallError> {
         let address = self.order.address;
         let up = self.due.min(Instant::now() + CONNECT_TIMEOUT);
         let connect = timeout_at(up, TcpStream::connect(address)).await;
@@ -169,7 +169,7 @@
         let io = TokioIo::new(Uninterrupted(stream));
         let (mut sender, connection) =
             hyper::client::conn::http1::handshake(io).await.map_err(CallError::Broke)?;
-        let guard = Guard::new(spawn_local(connection).abort_handle());
+        let guard = AbortOnDrop::new(spawn_local(connection).abort_handle());
         let request = Request::get(path)
             .header(header::HOST, address.to_string())
             .body(Empty::<Bytes>::new())
--- a/crates/runtime/src/discovery/mod.rs
+++ b/crates/runtime/src/discovery/mod.rs
@@ -6,7 +6,7 @@
 mod trace;
 
 use crate::events::{Call, Inbox, Input, ListStatus, News};
-use crate::guard::Guard;
+use crate::guard::AbortOnDrop;
 use crate::listing::Listing;
 use call::{Order, Report, Reports};
 use curlewhub_balance::{Discovery as DiscoveryMode, Membership, Rules as ListRules};
@@ -143,14 +143,14 @@
         }
     }
 
-    fn carry_out(&self, out: &mut HashMap<CallId, Guard>, reports: &Reports) {
+    fn carry_out(&self, out: &mut HashMap<CallId, AbortOnDrop>, reports: &Reports) {
         for action in self.client.borrow_mut().take_actions() {
             match action {
                 Action::Call { id, epoch, kind } => {
                     let order = Order { id, epoch, kind, address: self.address.get() };
                     let call = call::Call::new(order, reports.clone());
                     out.retain(|_, guard| !guard.is_finished());
-                    out.insert(id, Guard::new(spawn_local(call.run()).abort_handle()));
+                    out.insert(id, AbortOnDrop::new(spawn_local(call.run()).abort_handle()));
                 }
                 Action::Cancel(id) => drop(out.remove(&id)),
                 Action::Apply(list) => self.take(list),
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -5,12 +5,12 @@
 mod list;
 mod probes;
 
-use super::attempt_terms::{Progress, Terms};
+use super::attempt_terms::{AttemptProgress, WriteConditions};
 use super::call_observer::CallObserver;
 use super::clock::Clock;
 use super::endpoint_bans::EndpointBans;
 use super::events::{Answer, Arrival, Call, Client, Command, Ended, Forward, Inbox, Input, ListStatus};
-use super::figures::Hosts;
+use super::figures::EndpointSummary;
 use super::handover::overlap::{BalancerAccess, Overlap};
 use super::idempotency_keys::IdempotencyKeys;
 use super::lifecycle::{Lifecycle, State};
@@ -195,7 +195,8 @@
             // What is kept must stay in proportion to what is open and listed.
             let (open, timers, module) =
                 (self.requests.len(), self.timers.len(), self.balancer.tracked_items());
-            let (listed, names, links) = (self.addresses.len(), self.listing.names(), self.outbound.idle());
+            let (listed, names, links) =
+                (self.addresses.len(), self.listing.names(), self.outbound.idle_count());
             info!(
                 seconds = SUMMARY.as_secs(),
                 outcomes = ?counts,
@@ -205,7 +206,7 @@
                 listed,
                 names,
                 idle = links,
-                full = self.outbound.full(),
+                full = self.outbound.full_refusals(),
                 "summary"
             );
         }
@@ -247,7 +248,7 @@
                 let down = self.balancer.avoided_endpoints(self.clock.now());
                 let (listed, parts) = (self.addresses.len(), self.overlap.parts());
                 let list = self.list_status;
-                let _ = told.send(Hosts { listed, down, parts, list });
+                let _ = told.send(EndpointSummary { listed, down, parts, list });
             }
             Command::Zones(rights) => self.handle(Event::Zones(rights)),
             Command::ProbeZone { zone, count, within } => self.probe_zone(zone, count, within),
@@ -299,7 +300,7 @@
     /// Something new may be written to it from now on where it is listed, does not drain and is not banned.
     fn admit(&self, id: EndpointId) {
         let open = !self.banned.contains(&id) && !self.draining.contains(&id);
-        self.outbound.admit(id, self.addresses.get(&id).copied().filter(|_| open));
+        self.outbound.set_admitted(id, self.addresses.get(&id).copied().filter(|_| open));
     }
 
     fn arrived(&mut self, arrival: Arrival) {
@@ -375,7 +376,7 @@
         );
         self.call_observer.attempt_ended((id, attempt), outcome, elapsed);
         if outcome == Outcome::TimedOut {
-            self.outbound.close_unheard(endpoint, sent);
+            self.outbound.close_idle_since(endpoint, sent);
         }
         if outcome == Outcome::Ok {
             self.finish(id, Answer::Served(body));
@@ -516,14 +517,14 @@
         let mut deadline = open.deadline.subscribe();
         let (outbound, inbox) = (self.outbound.clone(), self.inbox.clone());
         let begin_by = repeats_until.map(|until| now + until.saturating_sub(self.clock.now()));
-        let terms = Terms { client: open.client.clone(), begin_by, time_left };
+        let conditions = WriteConditions { client: open.client.clone(), begin_by, time_left };
         spawn_local(async move {
-            let progress = Progress::of_request(terms);
+            let progress = AttemptProgress::for_request(conditions);
             let ended = tokio::select! {
                 biased;
                 _ = &mut cancelled => Ended::bare(Outcome::Cancelled),
                 ended = outbound.attempt(endpoint, address, request, &progress) => ended,
-                () = passed(&mut deadline, until) => Ended::bare(progress.given_up()),
+                () = passed(&mut deadline, until) => Ended::bare(progress.timeout_outcome()),
             };
             let _ = inbox.send(Input::AttemptEnded(id, attempt, ended));
         });
--- a/crates/runtime/src/driver/list.rs
+++ b/crates/runtime/src/driver/list.rs
@@ -68,7 +68,7 @@
                 let stays = listed.contains(id);
                 if !stays {
                     outbound.close_idle(*id);
-                    outbound.admit(*id, None);
+                    outbound.set_admitted(*id, None);
                 }
                 stays
             });
--- a/crates/runtime/src/events.rs
+++ b/crates/runtime/src/events.rs
@@ -1,8 +1,8 @@
 //! What the parts of the sidecar tell each other: requests and their answers, what happened on sockets,
 //! news of the list, and operators' calls. Values alone: nothing here does anything.
 
-use crate::figures::Hosts;
-use crate::streaming::{AnswerBody, Payload};
+use crate::figures::EndpointSummary;
+use crate::streaming::{RequestBody, ResponseBody};
 use curlewhub_balance::{
     AttemptNo, EndpointId, Membership, Outcome, RequestId, ShareTransfer, Snapshot, ZoneAdmissions, ZoneId,
 };
@@ -52,7 +52,7 @@
 /// What operators ask of the driver.
 pub enum Command {
     /// How many endpoints are listed, and how many of them avoided.
-    Hosts(oneshot::Sender<Hosts>),
+    Hosts(oneshot::Sender<EndpointSummary>),
     /// Replies with a snapshot of the balancer's learned state.
     CaptureSnapshot(oneshot::Sender<Snapshot>),
     /// Take the endpoint of this uid out of use, or give it back.
@@ -159,13 +159,13 @@
     /// End-to-end headers.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: Payload,
+    pub body: RequestBody,
 }
 
 /// A final answer.
 pub enum Answer {
     /// Served, with the body of an endpoint's answer.
-    Served(AnswerBody),
+    Served(ResponseBody),
     /// Refused: trying again is harmless, after this long if it is stated.
     Refused(Option<Duration>),
     /// Failed.
@@ -177,7 +177,7 @@
     /// The outcome.
     pub outcome: Outcome,
     /// The body of a 200.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
     /// The load report, if one came.
     pub report: Option<Vec<f64>>,
 }
@@ -185,7 +185,7 @@
 impl Ended {
     /// An end that brought nothing but itself.
     pub fn bare(outcome: Outcome) -> Self {
-        Ended { outcome, body: AnswerBody::Whole(Bytes::new()), report: None }
+        Ended { outcome, body: ResponseBody::Buffered(Bytes::new()), report: None }
     }
 }
 
@@ -229,7 +229,7 @@
 
 impl Forward {
     /// As it goes to the endpoint at this address, but for the time left: see `tell_time_left`.
-    pub fn request(&self, address: SocketAddr) -> Request<Payload> {
+    pub fn request(&self, address: SocketAddr) -> Request<RequestBody> {
         let mut request = Request::new(self.body.clone());
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
--- a/crates/runtime/src/figures.rs
+++ b/crates/runtime/src/figures.rs
@@ -12,14 +12,14 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// All figures' names begin with this.
+/// All metrics' names begin with this.
 const PREFIX: &str = "router";
 /// Stands for the class of a request that names none.
 const UNKNOWN: &str = "unknown";
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
+pub enum RequestOutcome {
     /// Served.
     Success,
     /// Refused.
@@ -37,7 +37,7 @@
 
 /// The endpoints as the driver and the module see them now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Hosts {
+pub struct EndpointSummary {
     /// In the list.
     pub listed: usize,
     /// Of these, avoided: taken out by hand, leaving, or failing.
@@ -49,7 +49,7 @@
 }
 
 /// The counts since the start of the process.
-pub struct Figures {
+pub struct Metrics {
     /// The settings' classes, and behind them the unknown.
     classes: Vec<Class>,
     backend_calls: Cell<u64>,
@@ -61,34 +61,34 @@
     keys: Cell<u64>,
     keys_failed: Cell<u64>,
     /// What stands beside the sidecar's own: its part in a fleet, where there is one.
-    beside: RefCell<Vec<Beside>>,
+    external: RefCell<Vec<ExternalMetric>>,
 }
 
 /// A figure that another part of the process tells.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Beside {
+pub struct ExternalMetric {
     /// Its name.
     pub name: &'static str,
     /// Its value.
     pub value: u64,
     /// It only rises; else it goes up and down.
-    pub counts: bool,
+    pub is_counter: bool,
 }
 
 /// A request until it ends; counts it when dropped.
-pub struct Counted {
-    figures: Rc<Figures>,
+pub struct RequestMetrics {
+    metrics: Rc<Metrics>,
     class: usize,
-    taken: bool,
-    verdict: Verdict,
+    received: bool,
+    outcome: RequestOutcome,
 }
 
 fn raise(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
 
-impl Figures {
-    /// Nothing counted yet, for these classes.
+impl Metrics {
+    /// Nothing request yet, for these classes.
     pub fn new(classes: impl Iterator<Item = String>) -> Rc<Self> {
         let class = |name| {
             let (success, busy, failure) = Default::default();
@@ -97,7 +97,7 @@
         let classes = classes.chain([UNKNOWN.to_owned()]).map(class).collect();
         let (backend_calls, in_flight, reconfig_ok, reconfig_failed) = Default::default();
         let (snapshot_ok, snapshot_failed, keys, keys_failed) = Default::default();
-        Rc::new(Figures {
+        Rc::new(Metrics {
             classes,
             backend_calls,
             in_flight,
@@ -107,35 +107,35 @@
             snapshot_failed,
             keys,
             keys_failed,
-            beside: RefCell::default(),
+            external: RefCell::default(),
         })
     }
 
     /// A request has begun to come: of this class, if it names a known one. It ends as a failure unless
     /// something else is said.
-    pub fn begin(self: &Rc<Self>, class: Option<usize>) -> Counted {
+    pub fn start_request(self: &Rc<Self>, class: Option<usize>) -> RequestMetrics {
         let unknown = self.classes.len() - 1;
         let class = class.unwrap_or(unknown).min(unknown);
-        Counted { figures: self.clone(), class, taken: false, verdict: Verdict::Failure }
+        RequestMetrics { metrics: self.clone(), class, received: false, outcome: RequestOutcome::Failure }
     }
 
     /// An attempt was written whole to an endpoint.
-    pub fn written(&self) {
+    pub fn record_attempt(&self) {
         raise(&self.backend_calls);
     }
 
     /// A new configuration was taken over, or could not be.
-    pub fn reconfigured(&self, ok: bool) {
+    pub fn record_reconfiguration(&self, ok: bool) {
         raise(if ok { &self.reconfig_ok } else { &self.reconfig_failed });
     }
 
     /// A snapshot was written to its file, or could not be.
-    pub fn snapshot(&self, ok: bool) {
+    pub fn record_snapshot(&self, ok: bool) {
         raise(if ok { &self.snapshot_ok } else { &self.snapshot_failed });
     }
 
     /// So many keys are remembered; one was written to the journal, or could not be.
-    pub fn keys(&self, remembered: usize, ok: bool) {
+    pub fn record_keys(&self, remembered: usize, ok: bool) {
         self.keys.set(remembered as u64);
         if !ok {
             raise(&self.keys_failed);
@@ -143,12 +143,12 @@
     }
 
     /// These stand beside from now on.
-    pub fn beside(&self, figures: Vec<Beside>) {
-        *self.beside.borrow_mut() = figures;
+    pub fn set_external(&self, metrics: Vec<ExternalMetric>) {
+        *self.external.borrow_mut() = metrics;
     }
 
-    /// All figures, one a line.
-    pub fn report(&self, hosts: Hosts) -> String {
+    /// All metrics, one a line.
+    pub fn report(&self, hosts: EndpointSummary) -> String {
         let mut text = String::new();
         let mut line = |name: &str, class: &str, value: u64, kind: &str| {
             let dot = if class.is_empty() { "" } else { "." };
@@ -174,37 +174,37 @@
             line("list_version", "", list.version, "g");
             line("list_age_ms", "", list.age().as_millis() as u64, "g");
         }
-        for &Beside { name, value, counts } in self.beside.borrow().iter() {
-            line(name, "", value, if counts { "c" } else { "g" });
+        for &ExternalMetric { name, value, is_counter } in self.external.borrow().iter() {
+            line(name, "", value, if is_counter { "c" } else { "g" });
         }
         text
     }
 }
 
-impl Counted {
+impl RequestMetrics {
     /// Its last byte has come.
-    pub fn taken(&mut self) {
-        if !std::mem::replace(&mut self.taken, true) {
-            raise(&self.figures.in_flight);
+    pub fn record_received(&mut self) {
+        if !std::mem::replace(&mut self.received, true) {
+            raise(&self.metrics.in_flight);
         }
     }
 
     /// How it will have ended.
-    pub fn ends(&mut self, verdict: Verdict) {
-        self.verdict = verdict;
+    pub fn set_outcome(&mut self, outcome: RequestOutcome) {
+        self.outcome = outcome;
     }
 }
 
-impl Drop for Counted {
+impl Drop for RequestMetrics {
     fn drop(&mut self) {
-        let class = &self.figures.classes[self.class];
-        raise(match self.verdict {
-            Verdict::Success => &class.success,
-            Verdict::Busy => &class.busy,
-            Verdict::Failure => &class.failure,
+        let class = &self.metrics.classes[self.class];
+        raise(match self.outcome {
+            RequestOutcome::Success => &class.success,
+            RequestOutcome::Busy => &class.busy,
+            RequestOutcome::Failure => &class.failure,
         });
-        if self.taken {
-            self.figures.in_flight.set(self.figures.in_flight.get() - 1);
+        if self.received {
+            self.metrics.in_flight.set(self.metrics.in_flight.get() - 1);
         }
     }
 }
@@ -215,28 +215,28 @@
 
     #[test]
     fn every_request_ends_in_exactly_one_count() {
-        let figures = Figures::new(["a", "b"].map(str::to_owned).into_iter());
+        let metrics = Metrics::new(["a", "b"].map(str::to_owned).into_iter());
         let ends = [
-            (Some(0), Some(Verdict::Success)),
-            (Some(0), Some(Verdict::Busy)),
-            (Some(1), Some(Verdict::Failure)),
+            (Some(0), Some(RequestOutcome::Success)),
+            (Some(0), Some(RequestOutcome::Busy)),
+            (Some(1), Some(RequestOutcome::Failure)),
             (Some(1), None), // its client left: nothing more was said
-            (None, Some(Verdict::Failure)),
-            (Some(9), Some(Verdict::Failure)),
+            (None, Some(RequestOutcome::Failure)),
+            (Some(9), Some(RequestOutcome::Failure)),
         ];
         let mut open = Vec::new();
-        for (class, verdict) in ends {
-            let mut counted = figures.begin(class);
-            counted.taken();
-            counted.taken();
-            verdict.into_iter().for_each(|verdict| counted.ends(verdict));
-            open.push(counted);
+        for (class, outcome) in ends {
+            let mut request = metrics.start_request(class);
+            request.record_received();
+            request.record_received();
+            outcome.into_iter().for_each(|outcome| request.set_outcome(outcome));
+            open.push(request);
         }
-        let hosts = Hosts { listed: 3, down: 1, parts: 64, list: None };
-        assert!(figures.report(hosts).contains("router.inflight:6|g\n"));
+        let hosts = EndpointSummary { listed: 3, down: 1, parts: 64, list: None };
+        assert!(metrics.report(hosts).contains("router.inflight:6|g\n"));
         drop(open);
-        figures.written();
-        figures.reconfigured(true);
+        metrics.record_attempt();
+        metrics.record_reconfiguration(true);
         let want = "router.success.a:1|c\nrouter.busy.a:1|c\nrouter.failure.a:0|c\n\
                     router.success.b:0|c\nrouter.busy.b:0|c\nrouter.failure.b:2|c\n\
                     router.success.unknown:0|c\nrouter.busy.unknown:0|c\nrouter.failure.unknown:2|c\n\
@@ -244,6 +244,6 @@
                     router.snapshot_ok:0|c\nrouter.snapshot_failed:0|c\n\
                     router.keys_failed:0|c\nrouter.keys:0|g\n\
                     router.inflight:0|g\nrouter.hosts_listed:3|g\nrouter.hosts_down:1|g\nrouter.share_parts:64|g\n";
-        assert_eq!(figures.report(hosts), want);
+        assert_eq!(metrics.report(hosts), want);
     }
 }
--- a/crates/runtime/src/guard.rs
+++ b/crates/runtime/src/guard.rs
@@ -3,12 +3,12 @@
 use tokio::task::AbortHandle;
 
 /// A task that ends with its holder.
-pub struct Guard(AbortHandle);
+pub struct AbortOnDrop(AbortHandle);
 
-impl Guard {
+impl AbortOnDrop {
     /// Ends this task when dropped.
     pub fn new(task: AbortHandle) -> Self {
-        Guard(task)
+        AbortOnDrop(task)
     }
 
     /// Whether the task has ended by itself.
@@ -17,7 +17,7 @@
     }
 }
 
-impl Drop for Guard {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
--- a/crates/runtime/src/handover/predecessor.rs
+++ b/crates/runtime/src/handover/predecessor.rs
@@ -75,7 +75,7 @@
         }
         let allowance = self.descriptors / INITIAL_ALLOWANCE_DIVISOR;
         peer.send(Message::DescriptorAllowance(allowance));
-        self.budget.share(self.descriptors - allowance, true);
+        self.budget.set_limits(self.descriptors - allowance, true);
         let connection = Connection::new(stream);
         self.has_successor.set(true);
         self.peer_connected(&peer, false);
@@ -86,7 +86,7 @@
         info!("handover: the successor has gone");
         self.peer_disconnected(&peer); // if the exchange has not done it
         self.has_successor.set(false);
-        self.budget.share(self.descriptors, false);
+        self.budget.set_limits(self.descriptors, false);
     }
 
     /// Leaves the successor the descriptors that this process no longer uses: idle connections beyond its own share are
@@ -97,14 +97,14 @@
         loop {
             check.tick().await;
             if lifecycle.state() == State::Terminating {
-                self.budget.hold(TERMINATING_HEADROOM);
-                let allowance = self.descriptors.saturating_sub(self.budget.sockets());
+                self.budget.limit_to_current(TERMINATING_HEADROOM);
+                let allowance = self.descriptors.saturating_sub(self.budget.socket_limit());
                 if allowance != last_allowance {
                     last_allowance = allowance;
                     peer.send(Message::DescriptorAllowance(allowance));
                 }
             }
-            while self.budget.over() && outbound.close_oldest_idle() {}
+            while self.budget.is_exceeded() && outbound.close_oldest_idle() {}
         }
     }
 
--- a/crates/runtime/src/idempotency_keys.rs
+++ b/crates/runtime/src/idempotency_keys.rs
@@ -4,7 +4,7 @@
 //! written is retried later.
 
 use crate::clock::Clock;
-use crate::figures::Figures;
+use crate::figures::Metrics;
 use curlewhub_balance::{CellId, ClassId, DeduplicationScope, EarlierAttempt, Semantics, Settings, ZoneId};
 use curlewhub_keys::{
     Entry, JournalFolder, KeyTable, OtherJournals, RETRY_INTERVAL, RetryingJournal, SlotWrite, zones_hash,
@@ -28,7 +28,7 @@
     /// None if no class needs a journal.
     journals: Option<Journals>,
     clock: Clock,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     /// The last write failed; logged once until a write succeeds.
     write_failing: bool,
     /// The last read failed; logged once until a read succeeds.
@@ -62,7 +62,7 @@
         listen: SocketAddr,
         settings: &Settings,
         zones: &[String],
-        figures: Rc<Figures>,
+        figures: Rc<Metrics>,
         clock: Clock,
     ) -> Self {
         let windows = repeat_windows(settings);
@@ -164,7 +164,7 @@
         let (Some(write), Some(journals)) = (write, &mut self.journals) else { return };
         let written = journals.own.write(now, &write);
         journals.schedule_retry();
-        self.figures.keys(self.memory.len(), written.is_ok());
+        self.figures.record_keys(self.memory.len(), written.is_ok());
         if let Err(error) = written
             && !std::mem::replace(&mut self.write_failing, true)
         {
--- a/crates/runtime/src/inbound/connection.rs
+++ b/crates/runtime/src/inbound/connection.rs
@@ -265,7 +265,7 @@
                     // Any other error is the client's leaving.
                     let rested = ended.is_ok() && turn.stage() == Stage::Closing;
                     if ended.is_err_and(|e| e.is_parse()) {
-                        drop(self.figures.begin(None));
+                        drop(self.metrics.start_request(None));
                     }
                     return if rested { End::Resting } else { End::Answered };
                 }
--- a/crates/runtime/src/inbound/exchange.rs
+++ b/crates/runtime/src/inbound/exchange.rs
@@ -4,8 +4,8 @@
 use super::connection::{Step, Turn};
 use super::request::{Bad, bad, drop_hop_headers, plain, spoilt};
 use crate::events::{Answer, Arrival, Client, Forward, Inbox, Input};
-use crate::figures::{Counted, Verdict};
-use crate::streaming::{AnswerBody, BODY_MOST, Came, Payload, Spoilt, Upload, take_in};
+use crate::figures::{RequestMetrics, RequestOutcome};
+use crate::streaming::{BODY_MOST, Came, RequestBody, ResponseBody, Spoilt, Upload, take_in};
 use curlewhub_balance::RequestId;
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
 use hyper::header::{self, HeaderValue};
@@ -63,8 +63,8 @@
 
 /// An answer's body, the request's count, and its connection: that all end together.
 pub(super) struct Outgoing {
-    body: AnswerBody,
-    counted: Option<Counted>,
+    body: ResponseBody,
+    counted: Option<RequestMetrics>,
     turn: Rc<Turn>,
 }
 
@@ -78,9 +78,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let this = &mut *self;
         match &mut this.body {
-            AnswerBody::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            AnswerBody::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            AnswerBody::Flow(flow) => {
+            ResponseBody::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            ResponseBody::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            ResponseBody::Streaming(flow) => {
                 let piece = ready!(flow.poll(cx));
                 if matches!(piece, Some(Err(_))) {
                     // Where an answer has no length, only a reset tells its client that it is not whole.
@@ -89,7 +89,7 @@
                 if flow.is_over()
                     && let Some(counted) = &mut this.counted
                 {
-                    counted.ends(Verdict::Success);
+                    counted.set_outcome(RequestOutcome::Success);
                 }
                 Poll::Ready(piece.map(|piece| piece.map(Frame::data)))
             }
@@ -98,15 +98,15 @@
 
     fn is_end_stream(&self) -> bool {
         match &self.body {
-            AnswerBody::Whole(bytes) => bytes.is_empty(),
-            AnswerBody::Flow(flow) => flow.is_over(),
+            ResponseBody::Buffered(bytes) => bytes.is_empty(),
+            ResponseBody::Streaming(flow) => flow.is_over(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.body {
-            AnswerBody::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            AnswerBody::Flow(flow) => flow.size_hint(),
+            ResponseBody::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            ResponseBody::Streaming(flow) => flow.size_hint(),
         }
     }
 }
@@ -117,7 +117,7 @@
     }
 }
 
-type Reply = Response<AnswerBody>;
+type Reply = Response<ResponseBody>;
 
 impl Inbound {
     pub(super) async fn answer(
@@ -130,19 +130,19 @@
         let mut counted = None;
         // Who keeps a connection after the answer keeps it for 2 s at least: where those fill up, new
         // clients would find no room, while hardly anybody is being answered.
-        let mut last = shed || self.budget.clients_crowd();
+        let mut last = shed || self.budget.is_crowded();
         let mut reply = if request.uri().path() == "/-/ready" && request.body().is_end_stream() {
             // Who only asks this is no client yet: hundreds that then stayed would take the clients' room.
             last = true;
             let ready = self.lifecycle.is_ready();
             plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "")
         } else if shed {
-            counted = Some(self.figures.begin(self.class(request.uri())));
+            counted = Some(self.metrics.start_request(self.class(request.uri())));
             let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "too many connections");
             reply.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from_static(SHED_RETRY));
             reply
         } else {
-            let counted = counted.insert(self.figures.begin(self.class(request.uri())));
+            let counted = counted.insert(self.metrics.start_request(self.class(request.uri())));
             match self.serve_request(request, turn, counted).await {
                 Ok(reply) => reply,
                 Err((status, problem)) => {
@@ -163,11 +163,13 @@
             reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         if let Some(counted) = &mut counted {
-            counted.ends(match reply.status() {
+            counted.set_outcome(match reply.status() {
                 // What flows has succeeded once it has come to its end.
-                StatusCode::OK if matches!(reply.body(), AnswerBody::Whole(_)) => Verdict::Success,
-                StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Verdict::Busy,
-                _ => Verdict::Failure,
+                StatusCode::OK if matches!(reply.body(), ResponseBody::Buffered(_)) => {
+                    RequestOutcome::Success
+                }
+                StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => RequestOutcome::Busy,
+                _ => RequestOutcome::Failure,
             });
         }
         Ok(reply.map(|body| Outgoing { body, counted, turn: turn.clone() }))
@@ -190,7 +192,7 @@
         &self,
         request: Request<Incoming>,
         turn: &Turn,
-        counted: &mut Counted,
+        counted: &mut RequestMetrics,
     ) -> Result<Reply, Bad> {
         if turn.came_ahead() {
             return Err(ANOTHER_AT_ONCE);
@@ -220,12 +222,12 @@
         let _open = OpenId { open: &self.open, id };
         let came = take_in(body, turn.request_start(), &self.budget).await.map_err(spoilt)?;
         let (body, upload) = match came {
-            Came::Whole(kept) => (Payload::Whole(kept), None),
-            Came::Long(upload) => (Payload::Long(upload.clone()), Some(upload)),
+            Came::Whole(kept) => (RequestBody::Buffered(kept), None),
+            Came::Long(upload) => (RequestBody::Streaming(upload.clone()), Some(upload)),
         };
         if upload.is_none() {
             Self::undisturbed(turn, std::future::ready(())).await?;
-            counted.taken();
+            counted.record_received();
         }
         // The client counts from its last byte.
         let came = Instant::now();
@@ -266,7 +268,7 @@
                     }
                     came = self.passed_on(&upload, id) => {
                         came.map_err(spoilt)?;
-                        counted.taken();
+                        counted.record_received();
                         let came = Instant::now();
                         let _ = self.inbox.send(Input::BodyWhole(id, came + within));
                         Self::undisturbed(turn, timeout_at(came + time, answered)).await?
--- a/crates/runtime/src/inbound/mod.rs
+++ b/crates/runtime/src/inbound/mod.rs
@@ -7,7 +7,7 @@
 use crate::budget::{Budget, Holder, Permit};
 use crate::connect::lacks_resources;
 use crate::events::{Inbox, Input};
-use crate::figures::Figures;
+use crate::figures::Metrics;
 use crate::handover::Handover;
 use crate::lifecycle::{Lifecycle, State};
 use crate::outbound::Outbound;
@@ -53,7 +53,7 @@
     inbox: Inbox,
     next: Cell<u64>,
     lifecycle: Rc<Lifecycle>,
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
     /// Accepting fails; said once in the log until it works again.
     failing: Cell<bool>,
     /// The connections in the order of their coming.
@@ -70,7 +70,7 @@
         budget: Rc<Budget>,
         outbound: Rc<Outbound>,
         lifecycle: Rc<Lifecycle>,
-        figures: Rc<Figures>,
+        metrics: Rc<Metrics>,
         inbox: Inbox,
     ) -> Rc<Self> {
         let list = |names: &[curlewhub_config::Named]| names.iter().map(|n| n.name.clone()).collect();
@@ -86,7 +86,7 @@
             inbox,
             next: Cell::new(0),
             lifecycle,
-            figures,
+            metrics,
             failing: Cell::new(false),
             connections: RefCell::default(),
             open: RefCell::default(),
@@ -153,7 +153,7 @@
 
     async fn all_gone(&self) {
         while self.budget.clients() > 0 {
-            self.budget.freed().await;
+            self.budget.client_released().await;
         }
     }
 
@@ -163,9 +163,9 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 self.failing.set(false);
-                let permit = permit.or_else(|| self.budget.take(Holder::Client));
+                let permit = permit.or_else(|| self.budget.try_acquire(Holder::Client));
                 let shed = permit.is_none();
-                let permit = permit.or_else(|| self.budget.take(Holder::Shed));
+                let permit = permit.or_else(|| self.budget.try_acquire(Holder::Shed));
                 let this = self.clone();
                 spawn_local(async move { this.connection(stream, shed, permit).await });
             }
@@ -185,19 +185,19 @@
     /// A permit for one more client; none where it can only be told that there is no room.
     async fn room(&self) -> Option<Permit> {
         loop {
-            while self.budget.endpoints_crowd() && self.outbound.close_oldest_idle() {}
-            if let Some(permit) = self.budget.take(Holder::Client) {
+            while self.budget.is_full_of_endpoints() && self.outbound.close_oldest_idle() {}
+            if let Some(permit) = self.budget.try_acquire(Holder::Client) {
                 return Some(permit);
             }
             // Who lingers has had its answer, the oldest for the longest.
             if !self.end_lingering()
                 && !self.make_room()
-                && let Some(permit) = self.budget.take(Holder::Shed)
+                && let Some(permit) = self.budget.try_acquire(Holder::Shed)
             {
                 drop(permit);
                 return None;
             }
-            let _ = timeout(ROOM_RECHECK, self.budget.freed()).await;
+            let _ = timeout(ROOM_RECHECK, self.budget.client_released()).await;
         }
     }
 
--- a/crates/runtime/src/inbound/request.rs
+++ b/crates/runtime/src/inbound/request.rs
@@ -1,7 +1,7 @@
 //! What a client's request says, read and checked.
 
 use super::Inbound;
-use crate::streaming::{AnswerBody, Spoilt};
+use crate::streaming::{ResponseBody, Spoilt};
 use curlewhub_balance::{ClassId, RequestId, Semantics, TenantId};
 use hyper::body::Bytes;
 use hyper::header::{self, HeaderMap, HeaderName};
@@ -102,8 +102,8 @@
     }
 }
 
-pub(super) fn plain(status: StatusCode, text: &'static str) -> Response<AnswerBody> {
-    let mut reply = Response::new(AnswerBody::Whole(Bytes::from_static(text.as_bytes())));
+pub(super) fn plain(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
+    let mut reply = Response::new(ResponseBody::Buffered(Bytes::from_static(text.as_bytes())));
     *reply.status_mut() = status;
     reply
 }
--- a/crates/runtime/src/learned_state.rs
+++ b/crates/runtime/src/learned_state.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Clock;
 use crate::events::{Command, Commands, Inbox, Input};
-use crate::figures::Figures;
+use crate::figures::Metrics;
 use crate::lifecycle::{Lifecycle, State};
 use curlewhub_keys::ClockAnchor;
 use curlewhub_snapshot::{Store, appendix, decode_corrected, encode_with_appendix};
@@ -30,7 +30,7 @@
     store: Store,
     commands: Commands,
     inbox: Inbox,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     /// The last write failed; logged once until a write succeeds.
     write_failing: Cell<bool>,
 }
@@ -43,7 +43,7 @@
         store: Store,
         commands: Commands,
         inbox: Inbox,
-        figures: Rc<Figures>,
+        figures: Rc<Metrics>,
     ) -> Rc<Self> {
         let write_failing = Cell::new(false);
         Rc::new(LearnedState { clock, fingerprint, store, commands, inbox, figures, write_failing })
@@ -132,7 +132,7 @@
         let store = self.store.clone();
         let written = tokio::task::spawn_blocking(move || store.write(&bytes)).await;
         let written = written.unwrap_or_else(|e| Err(std::io::Error::other(e)));
-        self.figures.snapshot(written.is_ok());
+        self.figures.record_snapshot(written.is_ok());
         match written {
             Ok(()) => self.write_failing.set(false),
             Err(e) if !self.write_failing.replace(true) => {
--- a/crates/runtime/src/operator.rs
+++ b/crates/runtime/src/operator.rs
@@ -2,7 +2,7 @@
 
 use super::budget::{Budget, Holder, Permit};
 use super::events::{Command, Commands};
-use super::figures::Figures;
+use super::figures::Metrics;
 use super::handover::Handover;
 use super::interrupts::{Uninterrupted, uninterrupted_async};
 use super::lifecycle::Lifecycle;
@@ -42,7 +42,7 @@
 /// Serves the operators.
 pub struct Operator {
     lifecycle: Rc<Lifecycle>,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     commands: Commands,
     handover: Rc<Handover>,
     budget: Rc<Budget>,
@@ -55,7 +55,7 @@
     /// Nobody has called yet.
     pub fn new(
         lifecycle: Rc<Lifecycle>,
-        figures: Rc<Figures>,
+        figures: Rc<Metrics>,
         commands: Commands,
         handover: Rc<Handover>,
         budget: Rc<Budget>,
@@ -86,7 +86,7 @@
     /// that callers who hang keep nobody waiting.
     async fn room(&self) -> Permit {
         loop {
-            if let Some(permit) = self.budget.take(Holder::Operator) {
+            if let Some(permit) = self.budget.try_acquire(Holder::Operator) {
                 return permit;
             }
             let oldest = self.silent.borrow_mut().pop_first();
--- a/crates/runtime/src/outbound.rs
+++ b/crates/runtime/src/outbound.rs
@@ -1,17 +1,17 @@
 //! Connections to endpoints: attempts and probes, and how they end.
 
 use super::aged_connections::{AGED, AgedConnections};
-use super::attempt_terms::{Progress, Terms};
+use super::attempt_terms::{AttemptProgress, WriteConditions};
 use super::budget::{Budget, Holder, Permit};
 use super::connect::{ConnectError, RouteFaults, connect};
 use super::events::{Ended, tell_time_left};
-use super::figures::Figures;
-use super::guard::Guard;
+use super::figures::Metrics;
+use super::guard::AbortOnDrop;
 use super::load_report::LoadReportReader;
 use super::slots::{Slot, Slots};
 use super::socket::{BUFFER_MOST, Heard, Socket};
 use super::spares::{REST, Spares};
-use super::streaming::{AnswerBody, BODY_MOST, FLOW_KIB, Flow, Payload, Sending, WHOLE_MOST};
+use super::streaming::{BODY_MOST, FLOW_KIB, Flow, RequestBody, ResponseBody, Sending, WHOLE_MOST};
 use super::time_left::MAX_WRITE_DELAY;
 use super::write_gate::WriteGate;
 use curlewhub_balance::{EndpointId, Outcome, Settings};
@@ -61,7 +61,7 @@
     /// It is not used again before this.
     rests_until: Instant,
     /// Dropping a link closes its connection, also with an answer still to come.
-    _connection: Guard,
+    _connection: AbortOnDrop,
     _slot: Slot,
     _permit: Permit,
 }
@@ -111,7 +111,7 @@
 pub struct Outbound {
     budget: Rc<Budget>,
     slots: Rc<Slots>,
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
     gate: WriteGate,
     /// Idle ones, the most recently used last.
     idle: RefCell<HashMap<EndpointId, Vec<Link>>>,
@@ -132,15 +132,15 @@
         settings: &Settings,
         budget: Rc<Budget>,
         slots: Rc<Slots>,
-        figures: Rc<Figures>,
+        metrics: Rc<Metrics>,
     ) -> Rc<Self> {
         let (connect, idle) = (settings.limits.connect_timeout, settings.limits.idle_close);
         let or = |time: Duration, unstated| if time.is_zero() { unstated } else { time };
-        let idle_most = slots.kept(or(idle.mul_f64(IDLE_PART), IDLE_UNSTATED));
+        let idle_most = slots.idle_timeout(or(idle.mul_f64(IDLE_PART), IDLE_UNSTATED));
         Rc::new(Outbound {
             budget,
             slots,
-            figures,
+            metrics,
             gate: WriteGate::default(),
             idle: RefCell::default(),
             spares: RefCell::default(),
@@ -159,8 +159,8 @@
         self: &Rc<Self>,
         endpoint: EndpointId,
         address: SocketAddr,
-        mut request: Request<Payload>,
-        progress: &Progress,
+        mut request: Request<RequestBody>,
+        progress: &AttemptProgress,
     ) -> Ended {
         // What comes ahead of an answer says nothing of when that will come.
         let ahead = Arc::new(AtomicBool::new(false));
@@ -187,28 +187,29 @@
             if request.body().is_spent() {
                 return Ended::bare(Outcome::ConnectFailed); // the rest alone is of no use
             }
-            let (heard, whole) = (link.heard.clone(), progress.whole.clone());
+            let (heard, whole) = (link.heard.clone(), progress.fully_sent.clone());
             whole.set(false);
             // Read only now: a wait for the connection has taken its part of the client's time.
             let read_at = Instant::now();
-            if let Some(terms) = &progress.terms {
-                let left = terms.time_left.at(read_at);
+            if let Some(conditions) = &progress.conditions {
+                let left = conditions.time_left.at(read_at);
                 if left.is_zero() {
-                    return Ended::bare(progress.given_up());
+                    return Ended::bare(progress.timeout_outcome());
                 }
                 tell_time_left(request.headers_mut(), left);
             }
-            let figures = progress.terms.as_ref().map(|_| self.figures.clone());
-            let request = request.clone().map(|payload| Sending::new(&payload, whole, heard, figures));
+            let metrics = progress.conditions.as_ref().map(|_| self.metrics.clone());
+            let request = request.clone().map(|payload| Sending::new(&payload, whole, heard, metrics));
             let idle = link.idle_since.elapsed();
             link.heard.forget();
             // The last look is right before the first byte: whatever was waited for until then, a drain may have
             // been told, a client gone, a window for repeats passed, or the time that is told been held up.
-            let (this, terms) = (self.clone(), progress.terms.clone());
+            let (this, conditions) = (self.clone(), progress.conditions.clone());
             link.heard.begins(Box::new(move || {
-                let holds = |terms: &Terms| terms.hold() && read_at.elapsed() < MAX_WRITE_DELAY;
-                match &terms {
-                    Some(terms) => holds(terms) && this.gate.is_open(endpoint, address),
+                let holds =
+                    |conditions: &WriteConditions| conditions.hold() && read_at.elapsed() < MAX_WRITE_DELAY;
+                match &conditions {
+                    Some(conditions) => holds(conditions) && this.gate.is_open(endpoint, address),
                     None => this.gate.admits(endpoint, address),
                 }
             }));
@@ -222,7 +223,7 @@
                     }
                     Err(error) => {
                         if error.message().is_some() {
-                            progress.whole.set(false); // handed back unsent
+                            progress.fully_sent.set(false); // handed back unsent
                         }
                         (None, None)
                     }
@@ -238,18 +239,18 @@
                 self.aged.record(read.is_none() && link.heard.began().is_none());
             }
             if link.heard.withheld() {
-                progress.whole.set(false);
+                progress.fully_sent.set(false);
                 return Ended::bare(Outcome::NotSent);
             }
-            match (read, progress.whole.get(), fresh) {
+            match (read, progress.fully_sent.get(), fresh) {
                 (Some(Read::Whole(outcome, body)), whole, _) => {
                     if whole && !link.sender.is_closed() {
                         self.park(endpoint, link);
                     }
-                    return Ended { outcome, body: AnswerBody::Whole(body), report };
+                    return Ended { outcome, body: ResponseBody::Buffered(body), report };
                 }
                 (Some(Read::Long(first, rest)), whole, _) => {
-                    let memory = self.budget.wait_memory(FLOW_KIB).await;
+                    let memory = self.budget.stream_memory(FLOW_KIB).await;
                     let this = self.clone();
                     // Others may use the connection after the answer, unless its request was cut short.
                     let parking = Box::new(move || {
@@ -257,7 +258,7 @@
                             this.park(endpoint, link);
                         }
                     });
-                    let body = AnswerBody::Flow(Box::new(Flow::new(first, rest, parking, memory)));
+                    let body = ResponseBody::Streaming(Box::new(Flow::new(first, rest, parking, memory)));
                     return Ended { outcome: Outcome::Ok, body, report };
                 }
                 (None, true, _) => return Ended::bare(Outcome::Reset),
@@ -323,31 +324,31 @@
     /// Asks an endpoint for its load.
     pub async fn probe(self: &Rc<Self>, endpoint: EndpointId, address: SocketAddr) -> Ended {
         let request = Request::get("/-/load").header(header::HOST, address.to_string());
-        let Ok(request) = request.body(Payload::none()) else { return Ended::bare(Outcome::Error) };
-        let progress = Progress::of_probe();
+        let Ok(request) = request.body(RequestBody::empty()) else { return Ended::bare(Outcome::Error) };
+        let progress = AttemptProgress::for_probe();
         match timeout(PROBE, self.attempt(endpoint, address, request, &progress)).await {
             Ok(mut ended) => {
-                let AnswerBody::Whole(body) = &ended.body else { return Ended::bare(Outcome::Error) };
+                let ResponseBody::Buffered(body) = &ended.body else { return Ended::bare(Outcome::Error) };
                 let in_body = std::str::from_utf8(body).ok().and_then(|text| self.load_reports.read(text));
                 ended.report = in_body.or(ended.report);
                 ended
             }
-            Err(_) => Ended::bare(progress.given_up()),
+            Err(_) => Ended::bare(progress.timeout_outcome()),
         }
     }
 
     /// Connects that endpoints with full tables have refused.
-    pub fn full(&self) -> u64 {
-        self.slots.full()
+    pub fn full_refusals(&self) -> u64 {
+        self.slots.full_refusals()
     }
 
     /// How many connections are idle.
-    pub fn idle(&self) -> usize {
+    pub fn idle_count(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
     /// Lets something new be written to an endpoint at this address alone, or nothing at all.
-    pub fn admit(&self, endpoint: EndpointId, at: Option<SocketAddr>) {
+    pub fn set_admitted(&self, endpoint: EndpointId, at: Option<SocketAddr>) {
         if at.is_none() {
             self.routes.borrow_mut().forget(endpoint);
         }
@@ -360,11 +361,11 @@
     }
 
     /// Ends once nothing of an attempt may be written any more.
-    async fn withdrawn(&self, endpoint: EndpointId, address: SocketAddr, progress: &Progress) {
-        match &progress.terms {
-            Some(terms) => tokio::select! {
+    async fn withdrawn(&self, endpoint: EndpointId, address: SocketAddr, progress: &AttemptProgress) {
+        match &progress.conditions {
+            Some(conditions) => tokio::select! {
                 () = self.gate.closed(endpoint, address) => {}
-                () = terms.broken() => {}
+                () = conditions.violated() => {}
             },
             None => self.gate.left(endpoint, address).await,
         }
@@ -391,7 +392,7 @@
     /// Closes idle connections to an endpoint on which nothing was heard since then: a machine that is
     /// cut off leaves them open and silent, and each would cost one more request all its time, where a
     /// new connection fails at once and proves that nothing ran.
-    pub fn close_unheard(&self, endpoint: EndpointId, since: Instant) {
+    pub fn close_idle_since(&self, endpoint: EndpointId, since: Instant) {
         if let Some(links) = self.idle.borrow_mut().get_mut(&endpoint) {
             links.retain(|link| link.idle_since > since);
         }
@@ -460,7 +461,7 @@
     /// Opens one more connection and keeps it, where that takes no place of another one.
     async fn open_spare(&self, endpoint: EndpointId, address: SocketAddr) {
         let Ok(slot) = self.slots.try_take(endpoint) else { return };
-        let Some(permit) = self.budget.take(Holder::Endpoint) else { return };
+        let Some(permit) = self.budget.try_acquire(Holder::Endpoint) else { return };
         let Ok(link) = self.open(endpoint, address, slot, permit).await else { return };
         // It may have been left, or have moved, in the meantime.
         if self.gate.admits(endpoint, address) {
@@ -475,7 +476,7 @@
             Admission::Open | Admission::Wait => NoLink::LookAgain,
         })?;
         let permit = loop {
-            match self.budget.take(Holder::Endpoint) {
+            match self.budget.try_acquire(Holder::Endpoint) {
                 Some(permit) => break permit,
                 None if self.close_oldest_idle() => {}
                 // No descriptor is left to this process.
@@ -517,7 +518,7 @@
             address,
             idle_since: up,
             rests_until: up,
-            _connection: Guard::new(task.abort_handle()),
+            _connection: AbortOnDrop::new(task.abort_handle()),
             _slot: slot,
             _permit: permit,
         })
--- a/crates/runtime/src/slots.rs
+++ b/crates/runtime/src/slots.rs
@@ -61,12 +61,12 @@
     }
 
     /// How long an idle connection is kept that could be kept for so long.
-    pub fn kept(&self, most: Duration) -> Duration {
+    pub fn idle_timeout(&self, most: Duration) -> Duration {
         self.quota.borrow().settings().idle_timeout(most)
     }
 
     /// Connects that endpoints with full tables have refused.
-    pub fn full(&self) -> u64 {
+    pub fn full_refusals(&self) -> u64 {
         self.quota.borrow().full_refusals()
     }
 }
--- a/crates/runtime/src/socket.rs
+++ b/crates/runtime/src/socket.rs
@@ -1,7 +1,7 @@
 //! A TCP connection that notes what comes in, under hyper, which keeps that to itself.
 
 use super::connect::is_local;
-use super::figures::Figures;
+use super::figures::Metrics;
 use super::interrupts::{is_retryable, uninterrupted};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -36,7 +36,7 @@
     /// Looks at the framing of the requests that come in.
     framing: RefCell<Framing>,
     /// Raised once more has been written.
-    awaiting: RefCell<Option<Rc<Figures>>>,
+    awaiting: RefCell<Option<Rc<Metrics>>>,
     /// Asked right before the first byte is written of what goes out next.
     leave: RefCell<Option<Leave>>,
     /// What a read or write failed with.
@@ -165,8 +165,8 @@
     }
 
     /// An attempt's last piece is on its way: counts the attempt once something has been written.
-    pub fn count_written(&self, figures: Rc<Figures>) {
-        self.awaiting.replace(Some(figures));
+    pub fn count_written(&self, metrics: Rc<Metrics>) {
+        self.awaiting.replace(Some(metrics));
     }
 
     /// The next byte is the first of something that goes only if this still holds then.
@@ -304,9 +304,9 @@
                     }
                     self.0.wrote.set(Instant::now());
                     if written.as_ref().is_ok_and(|count| *count > 0)
-                        && let Some(figures) = self.0.awaiting.take()
+                        && let Some(metrics) = self.0.awaiting.take()
                     {
-                        figures.written();
+                        metrics.record_attempt();
                     }
                     return Poll::Ready(written);
                 }
--- a/crates/runtime/src/streaming.rs
+++ b/crates/runtime/src/streaming.rs
@@ -2,7 +2,7 @@
 //! them, and never more in memory than the budget has given.
 
 use super::budget::{Budget, Memory};
-use super::figures::Figures;
+use super::figures::Metrics;
 use super::socket::Heard;
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
@@ -175,7 +175,7 @@
             if kept.last().is_none_or(|piece| piece.len() >= PIECE) {
                 // The first piece is part of what every client may take.
                 if !kept.is_empty() {
-                    memory.extend(budget.take_kept(PIECE / 1024));
+                    memory.extend(budget.try_buffer_memory(PIECE / 1024));
                 }
                 kept.push(Vec::new());
             }
@@ -191,7 +191,7 @@
     }
     // What flows takes buffers on both sides. Where others have them all, this client waits for its turn:
     // its time has not begun to run.
-    let flow = timeout(FLOW_WAIT, budget.wait_memory(FLOW_KIB)).await.map_err(|_| Spoilt::NoRoom)?;
+    let flow = timeout(FLOW_WAIT, budget.stream_memory(FLOW_KIB)).await.map_err(|_| Spoilt::NoRoom)?;
     Ok(Came::Long(Rc::new(Upload {
         source: RefCell::new(source),
         kept: RefCell::new(kept.into_iter().map(Bytes::from).collect()),
@@ -271,32 +271,32 @@
 
 /// A request's body for an endpoint.
 #[derive(Clone)]
-pub enum Payload {
+pub enum RequestBody {
     /// All of it is here.
-    Whole(Rc<Kept>),
+    Buffered(Rc<Kept>),
     /// It still comes.
-    Long(Rc<Upload>),
+    Streaming(Rc<Upload>),
 }
 
-impl Payload {
+impl RequestBody {
     /// None at all, for what has no body.
-    pub fn none() -> Self {
-        Payload::Whole(Rc::default())
+    pub fn empty() -> Self {
+        RequestBody::Buffered(Rc::default())
     }
 
     /// Whether its beginning is gone.
     pub fn is_spent(&self) -> bool {
-        matches!(self, Payload::Long(upload) if upload.flows())
+        matches!(self, RequestBody::Streaming(upload) if upload.flows())
     }
 
     /// The beginning, and the length where it is known.
     fn kept(&self) -> (Vec<Bytes>, Option<u64>) {
         match self {
-            Payload::Whole(kept) => {
+            RequestBody::Buffered(kept) => {
                 let length = kept.pieces.iter().map(|piece| piece.len() as u64).sum();
                 (kept.pieces.clone(), Some(length))
             }
-            Payload::Long(upload) => (upload.kept.borrow().clone(), upload.stated),
+            RequestBody::Streaming(upload) => (upload.kept.borrow().clone(), upload.stated),
         }
     }
 }
@@ -312,24 +312,24 @@
     whole: Rc<Cell<bool>>,
     /// Counts the attempt then.
     heard: Rc<Heard>,
-    figures: Option<Rc<Figures>>,
+    metrics: Option<Rc<Metrics>>,
 }
 
 impl Sending {
     /// From its beginning.
     pub fn new(
-        payload: &Payload,
+        payload: &RequestBody,
         whole: Rc<Cell<bool>>,
         heard: Rc<Heard>,
-        figures: Option<Rc<Figures>>,
+        metrics: Option<Rc<Metrics>>,
     ) -> Self {
         let (pieces, length) = payload.kept();
         let rest = match payload {
-            Payload::Whole(..) => None,
-            Payload::Long(upload) => Some(upload.clone()),
+            RequestBody::Buffered(..) => None,
+            RequestBody::Streaming(upload) => Some(upload.clone()),
         };
         let mut sending =
-            Sending { pieces: pieces.into(), rest, length, sent: 0, wait: None, whole, heard, figures };
+            Sending { pieces: pieces.into(), rest, length, sent: 0, wait: None, whole, heard, metrics };
         // What has no body is whole with its head.
         if sending.is_end_stream() {
             sending.completed();
@@ -339,8 +339,8 @@
 
     fn completed(&mut self) {
         self.whole.set(true);
-        if let Some(figures) = self.figures.take() {
-            self.heard.count_written(figures);
+        if let Some(metrics) = self.metrics.take() {
+            self.heard.count_written(metrics);
         }
     }
 
@@ -473,9 +473,9 @@
 }
 
 /// The body of an endpoint's answer.
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// All of it is here.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// It still comes.
-    Flow(Box<Flow>),
+    Streaming(Box<Flow>),
 }
