--- a/crates/balance/src/balance.rs
+++ b/crates/balance/src/balance.rs
@@ -28,10 +28,9 @@
 /// A failure counts as this many calls in flight; otherwise quick errors would win every sample.
 const FAILURE_PENALTY: f64 = 1.0;
 /// Maximum penalty of an endpoint, so that it recovers within some seconds.
-const MAX_FAILURE_PENALTY: f64 = 12.0;
-/// A smaller penalty counts as none: even a trace would lose every tie and exclude an idle endpoint for
-/// good.
-const MIN_FAILURE_PENALTY: f64 = 0.5;
+const MAX_PENALTY: f64 = 12.0;
+/// A smaller penalty counts as none: a trace would lose every tie and exclude an idle endpoint for good.
+const MIN_PENALTY: f64 = 0.5;
 /// Seconds in which a penalty decays to a third: long enough for consecutive failures to add up.
 const PENALTY_DECAY_SECONDS: f64 = 4.0;
 /// Seconds in which a slowdown decays to a third, so that a slow endpoint is tried again.
@@ -59,12 +58,12 @@
 /// this long, so that it neither uses up its attempts at once nor keeps the processor busy.
 const LOCAL_FAULT_WAIT: Duration = Duration::from_millis(100);
 
-/// What is known about the execution of an attempt.
+/// Whether an attempt ran, as far as is known.
 #[derive(Clone, Copy, PartialEq)]
 enum Run {
     InFlight,
-    NeverRan,
-    MayHaveRun,
+    Never,
+    Possible,
 }
 
 #[derive(Clone, Copy)]
@@ -102,7 +101,7 @@
 
 struct Endpoint {
     info: EndpointInfo,
-    /// When its start counts from, on this process's monotonic clock; none means long ago.
+    /// Since when it counts as started, on this process's monotonic clock; none means long ago.
     cold_since: Option<Duration>,
     /// Taken out of use by an operator.
     banned: bool,
@@ -130,7 +129,7 @@
 #[derive(Clone, Copy)]
 struct Window {
     size: f64,
-    in_flight: u32,
+    used: u32,
     ramping_up: bool,
 }
 
@@ -150,14 +149,13 @@
     index: HashMap<EndpointId, usize>,
     /// Endpoints taken out of use by an operator, listed or not.
     banned: HashSet<EndpointId>,
-    /// Ready endpoints: the subset in the own zone, that in other zones, all in the own zone, all in
+    /// Ready endpoints: a subset of the own zone and of the others, then all of the own zone and of the
     /// others.
     pools: [Vec<usize>; 4],
     requests: HashMap<RequestId, Pending>,
     queue: RequestQueue,
     zones: ZoneLimits,
-    /// The penalty that three quarters of the endpoints have at least; by half of them, a lost zone would
-    /// count.
+    /// A penalty that three quarters of the endpoints reach. If half sufficed, a lost zone would count.
     common_penalty: f64,
     /// For the own zone and for all others together: a crowded zone must not block the others.
     windows: [Window; 2],
@@ -220,7 +218,7 @@
 
     /// The attempts that may have run, the first one first.
     fn may_have_run(&self) -> impl Iterator<Item = EarlierAttempt> {
-        let own = self.attempts.iter().filter(|a| a.run != Run::NeverRan);
+        let own = self.attempts.iter().filter(|a| a.run != Run::Never);
         self.earlier_attempt.into_iter().chain(own.map(|a| EarlierAttempt {
             zone: a.zone,
             cell: a.cell,
@@ -248,7 +246,7 @@
             queue: RequestQueue::default(),
             zones: ZoneLimits::default(),
             common_penalty: 0.0,
-            windows: [Window { size: 1.0, in_flight: 0, ramping_up: true }; 2],
+            windows: [Window { size: 1.0, used: 0, ramping_up: true }; 2],
             share: 1.0,
             recheck_scheduled: false,
             refused_value: DecayingValue::default(),
@@ -332,11 +330,11 @@
     }
 
     fn add_penalty(&mut self, now: Duration, penalty: f64) {
-        self.failure_penalty.set(now, (self.failure_penalty(now) + penalty).min(MAX_FAILURE_PENALTY));
+        self.failure_penalty.set(now, (self.failure_penalty(now) + penalty).min(MAX_PENALTY));
     }
 
     fn failure_penalty(&self, now: Duration) -> f64 {
         let penalty = self.failure_penalty.value_at(now, PENALTY_DECAY_SECONDS);
-        if penalty < MIN_FAILURE_PENALTY { 0.0 } else { penalty }
+        if penalty < MIN_PENALTY { 0.0 } else { penalty }
     }
 }
--- a/crates/balance/src/balance/attempts.rs
+++ b/crates/balance/src/balance/attempts.rs
@@ -83,7 +83,7 @@
         for (number, endpoint) in in_flight {
             if let Some(&i) = self.index.get(&endpoint) {
                 let zone_group = self.zone_group(i);
-                self.windows[zone_group].in_flight += 1;
+                self.windows[zone_group].used += 1;
             }
             self.arm_overdue(now, id, number, out);
         }
@@ -140,7 +140,7 @@
         endpoint.in_flight += 1;
         self.zones.record_send(now, endpoint.info.zone);
         // While its body is received a request keeps no server busy: it is not counted in the window.
-        self.windows[zone_group].in_flight += u32::from(!pending.upload);
+        self.windows[zone_group].used += u32::from(!pending.upload);
         (endpoint.cold_tokens, endpoint.cold_tokens_at) = (cold_tokens - 1.0, now);
         pending.attempts.push(Attempt {
             endpoint: endpoint.info.id,
@@ -206,7 +206,7 @@
         let n = ended.attempt.0 as usize;
         let Some(attempt) = pending.attempts.get_mut(n).filter(|a| a.run == Run::InFlight) else { return };
         let idle = attempt.idle;
-        attempt.run = if ended.outcome.never_ran() { Run::NeverRan } else { Run::MayHaveRun };
+        attempt.run = if ended.outcome.never_ran() { Run::Never } else { Run::Possible };
         let (class, upload) = (pending.class, pending.upload);
         if ended.outcome == Outcome::LocalFault {
             pending.record_local_fault(now);
--- a/crates/balance/src/balance/choice.rs
+++ b/crates/balance/src/balance/choice.rs
@@ -4,7 +4,7 @@
 
 /// Endpoints sampled for a call: the paper's d; two gives most of the gain.
 const SAMPLE_SIZE: usize = 2;
-/// Endpoints of a pool examined for one choice: the work per request must not grow with the fleet.
+/// Endpoints of a pool examined for one choice, eligible or not: the work must not grow with the fleet.
 const MAX_EXAMINED: usize = 16;
 /// Slowdown, as a multiple of the baseline latency, that does not count against an endpoint.
 const TOLERATED_SLOWDOWN: f64 = 0.5;
@@ -18,8 +18,8 @@
 const WARM_SHARE_WEIGHT: f64 = 0.05;
 /// Pauses are ignored while at most this share of endpoints is warm and not paused.
 const MIN_WARM_SHARE_FOR_PAUSES: f64 = 0.5;
-/// If the floors of one call of all balancers add up to more calls than this at each endpoint, they are too
-/// many.
+/// If windows at their floor of one call make more calls than this at each endpoint, over all balancers,
+/// they count as full.
 const MAX_FLOOR_CALLS: f64 = 8.0;
 
 impl Balancer {
@@ -29,19 +29,17 @@
     fn has_capacity(&self, now: Duration, value: f64, zone_group: usize) -> bool {
         let fraction =
             (value / self.refused_value.value_at(now, REFUSED_DECAY_SECONDS).max(1e-9)).sqrt().min(1.0);
-        let ([own, far], in_flight) = (self.windows, self.windows[0].in_flight + self.windows[1].in_flight);
-        // At its floor of one call: two such windows of each of many balancers would still be an overload.
+        let ([own, far], in_flight) = (self.windows, self.windows[0].used + self.windows[1].used);
+        // Two windows at their floor of one call, of each of many balancers, would still be an overload.
         let above_floor = self.windows[zone_group].size > 1.0
             || in_flight == 0
-            || MAX_FLOOR_CALLS * self.single_call_share() >= 1.0;
-        // What may cross may stay in the own zone too: otherwise a crossing would only move load, at a
-        // price.
+            || MAX_FLOOR_CALLS * self.call_share() >= 1.0;
+        // What may cross may stay in the own zone too, or a crossing would only move load, at a price.
         let lent = if self.pools[3].is_empty() { 0.0 } else { far.size };
-        // If the own zone is closed, its window may cross: otherwise other balancers would get twice as
-        // much.
+        // If the own zone is closed, its window may cross too: otherwise other balancers get twice as much.
         let away = if self.zones.is_open(self.settings.zone) { 0.0 } else { own.size };
         let (used, size) =
-            if zone_group > 0 { (far.in_flight, far.size + away) } else { (in_flight, own.size + lent) };
+            if zone_group > 0 { (far.used, far.size + away) } else { (in_flight, own.size + lent) };
         let fits = f64::from(used) < size * self.share * fraction;
         self.settings.tier > 0 || (fits && above_floor)
     }
@@ -59,7 +57,7 @@
     }
 
     /// This balancer's share of one call at each endpoint.
-    pub(super) fn single_call_share(&self) -> f64 {
+    pub(super) fn call_share(&self) -> f64 {
         self.ready_count() / f64::from(self.settings.balancers.max(1))
     }
 
@@ -159,9 +157,7 @@
         let slowdown =
             (endpoint.slowdown.value_at(now, SLOWDOWN_DECAY_SECONDS) - TOLERATED_SLOWDOWN).max(0.0);
         let tried = pending.attempts.iter().any(|a| a.endpoint == endpoint.info.id);
-        self.load(now, i)
-            + slowdown * self.callers_per_zone()
-            + if tried { MAX_FAILURE_PENALTY } else { 0.0 }
+        self.load(now, i) + slowdown * self.callers_per_zone() + if tried { MAX_PENALTY } else { 0.0 }
     }
 
     /// Hard limits: the list, the cold budget, zones, pauses, and rule 2 for a keyed request that may have
--- a/crates/balance/src/balance/facts.rs
+++ b/crates/balance/src/balance/facts.rs
@@ -43,7 +43,7 @@
             return None;
         };
         let (_newest, before) = pending.attempts.split_last()?;
-        let own = before.iter().find(|attempt| attempt.run != Run::NeverRan).map(|attempt| attempt.sent);
+        let own = before.iter().find(|attempt| attempt.run != Run::Never).map(|attempt| attempt.sent);
         let first = pending.earlier_attempt.map(|earlier| earlier.sent).or(own)?;
         Some(first + window)
     }
--- a/crates/balance/src/balance/learning.rs
+++ b/crates/balance/src/balance/learning.rs
@@ -35,8 +35,8 @@
 const WINDOW_GAIN: f64 = 0.4;
 /// A window of which less than half is used loses this share with each answer, down to this many calls of
 /// all balancers at each endpoint.
-const WINDOW_IDLE_DECAY: f64 = 0.05;
-const IDLE_WINDOW_FLOOR: f64 = 2.0;
+const IDLE_DECAY: f64 = 0.05;
+const IDLE_FLOOR: f64 = 2.0;
 /// Less than a call: with one or two in flight, single slow answers are mostly chance.
 const WINDOW_CUT: f64 = 0.5;
 /// While another process of this sidecar runs, answers come in proportion to the share, so each has more
@@ -76,19 +76,12 @@
     ) {
         match self.index.get(&ended.endpoint) {
             Some(&i) if ended.outcome == Outcome::LocalFault => self.revert_send(i, upload),
-            Some(&i) => self.update_endpoint_stats(now, i, class, upload, ended),
+            Some(&i) => self.update_stats(now, i, class, upload, ended),
             None => {}
         }
     }
 
-    fn update_endpoint_stats(
-        &mut self,
-        now: Duration,
-        i: usize,
-        class: usize,
-        upload: bool,
-        ended: &AttemptEnded,
-    ) {
+    fn update_stats(&mut self, now: Duration, i: usize, class: usize, upload: bool, ended: &AttemptEnded) {
         let (elapsed, missing) = (ended.elapsed.as_secs_f64(), self.answers_missing(now));
         let slow = elapsed > self.late_after(class);
         let late = match ended.outcome {
@@ -98,45 +91,35 @@
             Outcome::TimedOut => !missing,
             outcome => outcome == Outcome::Rejected,
         };
-        let (call_share, zone_group, caller_fraction) =
-            (self.single_call_share(), self.zone_group(i), self.caller_fraction());
+        let (quota, group, factor) = (self.call_share(), self.zone_group(i), self.caller_fraction());
         // A window never falls below one call at each endpoint, shared by all balancers. The larger it is,
         // the less it gains: otherwise the balancers that start first, which measure idle servers, would be
         // starved by those that start last.
-        let (window, weight) = (&mut self.windows[zone_group], 1.0 / self.share.max(MIN_LEARNING_SHARE));
+        let (window, weight) = (&mut self.windows[group], 1.0 / self.share.max(MIN_LEARNING_SHARE));
         if late {
-            window.size = (window.size - WINDOW_CUT * weight).max(call_share.max(1.0));
+            window.size = (window.size - WINDOW_CUT * weight).max(quota.max(1.0));
             window.ramping_up = false;
-        } else if ended.outcome == Outcome::Ok
-            && f64::from(window.in_flight) * 2.0 > window.size * self.share
-        {
-            let gain = if window.ramping_up {
-                call_share.min(1.0)
-            } else {
-                WINDOW_GAIN * call_share / window.size
-            };
+        } else if ended.outcome == Outcome::Ok && f64::from(window.used) * 2.0 > window.size * self.share {
+            let gain = if window.ramping_up { quota.min(1.0) } else { WINDOW_GAIN * quota / window.size };
             window.size += gain * weight;
         }
-        window.in_flight = window.in_flight.saturating_sub(u32::from(!upload));
+        window.used = window.used.saturating_sub(u32::from(!upload));
         // An idle window says nothing of what servers can take, and would admit load that moves here all at
         // once.
-        for window in self.windows.iter_mut().filter(|w| f64::from(w.in_flight) * 2.0 < w.size * self.share)
-        {
-            window.size = window
-                .size
-                .min((window.size * (1.0 - WINDOW_IDLE_DECAY)).max(IDLE_WINDOW_FLOOR * call_share));
+        for window in self.windows.iter_mut().filter(|w| f64::from(w.used) * 2.0 < w.size * self.share) {
+            window.size = window.size.min((window.size * (1.0 - IDLE_DECAY)).max(IDLE_FLOOR * quota));
         }
         let usual = Duration::from_secs_f64(self.latency[class].mean);
         let endpoint = &mut self.endpoints[i];
         endpoint.ramping_up &= !late && endpoint.limit < RAMP_UP_LIMIT;
         if late && now >= endpoint.limit_cut_at + usual {
-            let cut = (LIMIT_CUT / caller_fraction).min(MAX_LIMIT_CUT);
+            let cut = (LIMIT_CUT / factor).min(MAX_LIMIT_CUT);
             (endpoint.limit, endpoint.limit_cut_at) = ((endpoint.limit * (1.0 - cut)).max(1.0), now);
         } else if ended.outcome == Outcome::Ok
             && !late
             && f64::from(endpoint.in_flight) * 2.0 > endpoint.limit * self.share
         {
-            endpoint.limit += caller_fraction / if endpoint.ramping_up { 1.0 } else { endpoint.limit };
+            endpoint.limit += factor / if endpoint.ramping_up { 1.0 } else { endpoint.limit };
         }
         if late && endpoint.limit <= 1.0 && ended.elapsed > usual.mul_f64(PAUSE_LATENCY_MULTIPLE) {
             endpoint.paused_until = now + ended.elapsed.mul_f64(PAUSE_DURATION_MULTIPLE);
@@ -145,9 +128,8 @@
         match ended.outcome {
             Outcome::Ok => {
                 self.endpoints[i].last_answer_at = Some(now);
-                let missing_answers =
-                    self.missing_answers.value_at(now, MISSING_DECAY_SECONDS) - MISSING_REFUTED;
-                self.missing_answers.set(now, missing_answers.max(0.0));
+                let missing = self.missing_answers.value_at(now, MISSING_DECAY_SECONDS) - MISSING_REFUTED;
+                self.missing_answers.set(now, missing.max(0.0));
                 self.late_share += SLOWDOWN_WEIGHT * (f64::from(u8::from(slow)) - self.late_share);
                 self.latency[class].add(now, elapsed);
                 let multiple = elapsed / self.latency[class].baseline.max(1e-6);
@@ -160,9 +142,7 @@
             }
             Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFault => {}
             // It may be draining with the notice on its way: it is avoided while the list can't be updated.
-            Outcome::Rejected if self.list_stale_since.is_some() => {
-                endpoint.add_penalty(now, MAX_FAILURE_PENALTY)
-            }
+            Outcome::Rejected if self.list_stale_since.is_some() => endpoint.add_penalty(now, MAX_PENALTY),
             _ => endpoint.add_penalty(now, FAILURE_PENALTY),
         }
     }
@@ -171,7 +151,7 @@
     fn revert_send(&mut self, i: usize, upload: bool) {
         let zone_group = self.zone_group(i);
         let window = &mut self.windows[zone_group];
-        window.in_flight = window.in_flight.saturating_sub(u32::from(!upload));
+        window.used = window.used.saturating_sub(u32::from(!upload));
         let endpoint = &mut self.endpoints[i];
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
     }
--- a/crates/balance/src/balance/members.rs
+++ b/crates/balance/src/balance/members.rs
@@ -112,7 +112,7 @@
             (self.discovery_failures, self.discovery_refusals) = (0, 0);
         }
         if !std::mem::replace(&mut self.list_received, true) {
-            let size = (INITIAL_WINDOW * self.single_call_share()).max(1.0);
+            let size = (INITIAL_WINDOW * self.call_share()).max(1.0);
             self.windows.iter_mut().for_each(|window| window.size = size);
         }
         self.dispatch_queued(now, out);
--- a/crates/balance/src/balance/slow_start.rs
+++ b/crates/balance/src/balance/slow_start.rs
@@ -1,4 +1,5 @@
-//! Slow start: when an endpoint's start counts from, how warm it is, and what it may be sent while cold.
+//! Slow start: since when an endpoint counts as started, how warm it is, and what it may be sent while
+//! cold.
 
 use super::*;
 
@@ -6,7 +7,7 @@
 const COLD_SAFETY_FACTOR: f64 = 0.5;
 
 impl Balancer {
-    /// When the start of a newly listed endpoint counts from; none if it started long ago.
+    /// Since when a newly listed endpoint counts as started; none if it started long ago.
     ///
     /// The machines of endpoints have wall clocks of their own, which may be wrong by an hour. Only in the
     /// list held at this process's own start does the stated time count; a start that becomes known later
--- a/crates/balance/src/balance/snapshot.rs
+++ b/crates/balance/src/balance/snapshot.rs
@@ -36,8 +36,8 @@
     cold_tokens: f64,
     #[serde(rename = "cold_at")]
     cold_tokens_at: Duration,
-    /// When an operator lifted its ban, or when its start counts from if that is later than stated: it is
-    /// cold.
+    /// When an operator lifted its ban, or since when it counts as started if that is later than stated: it
+    /// is cold.
     #[serde(rename = "back")]
     reinstated_at: Option<Duration>,
 }
@@ -141,8 +141,8 @@
 }
 
 impl Balancer {
-    /// Takes a snapshot of what this balancer has learned. It has no timers, open requests and random
-    /// numbers.
+    /// Takes a snapshot of what this balancer has learned. Timers, open requests and random numbers are not
+    /// included.
     pub fn snapshot(&self, now: Duration) -> Snapshot {
         let endpoint = |e: &super::Endpoint| EndpointSnapshot {
             id: e.info.id,
@@ -154,7 +154,7 @@
             limit_cut_at: e.limit_cut_at,
             cold_tokens: e.cold_tokens,
             cold_tokens_at: e.cold_tokens_at,
-            // Also when its start counts from here, if that is later than stated.
+            // Also since when it counts as started here, if that is later than stated.
             reinstated_at: e
                 .reinstated_at
                 .max(e.cold_since.filter(|from| e.info.started.is_none_or(|at| *from > at))),
--- a/crates/balance/src/held.rs
+++ b/crates/balance/src/held.rs
@@ -1,10 +1,10 @@
-//! A queue of requests that wait for capacity, iterated by value without sorting. The caller supplies the values;
-//! nothing is decided here.
+//! A queue of requests that wait for capacity, iterated by value without sorting. The caller supplies the
+//! values; nothing is decided here.
 //!
-//! Requests of one class and one fraction of the class's value are always worth the same, however the class's value
-//! changes. So requests are grouped by class and fraction, and each group is ordered by arrival: the most valuable
-//! request is the best among the groups' latest arrivals. A class has at most four groups: within or over its
-//! tenant's share, each with or without the mark of a client's retry.
+//! Requests of one class and one fraction of the class's value are always worth the same, however the
+//! class's value changes. So requests are grouped by class and fraction, and each group is ordered by
+//! arrival: the most valuable request is the best among the groups' latest arrivals. A class has at most
+//! four groups: within or over its tenant's share, each with or without the mark of a client's retry.
 
 use crate::types::RequestId;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -67,7 +67,8 @@
         self.entries.contains_key(&id)
     }
 
-    /// Inserts a request. One that is queued already gets the new key and arrival and keeps its sequence number.
+    /// Inserts a request. One that is queued already gets the new key and arrival and keeps its sequence
+    /// number.
     pub(crate) fn insert(&mut self, id: RequestId, key: ValueKey, arrived: Duration) {
         let sequence = self.take(id).map_or(self.last_sequence + 1, |entry| entry.sequence);
         self.last_sequence = self.last_sequence.max(sequence);
@@ -91,9 +92,9 @@
         Some(entry)
     }
 
-    /// Returns the next request in descending order of value; of equal ones the latest arrival, then the greater
-    /// id. A request that was passed is not returned again, even if it is removed and reinserted meanwhile.
-    /// Values must not change during an iteration.
+    /// Returns the next request in descending order of value; of equal ones the latest arrival, then the
+    /// greater id. A request that was passed is not returned again, even if it is removed and reinserted
+    /// meanwhile. Values must not change during an iteration.
     pub(crate) fn next(&self, iter: &mut Cursor, value: impl Fn(ValueKey) -> f64) -> Option<RequestId> {
         let remaining =
             |key: ValueKey, all: &BTreeSet<ArrivalKey>| match iter.0.iter().find(|(k, _)| *k == key) {
@@ -151,7 +152,8 @@
         }
     }
 
-    /// An id, its class, whether its value is full rather than half, its arrival, and whether it is removed.
+    /// An id, its class, whether its value is full rather than half, its arrival, and whether it is
+    /// removed.
     fn step() -> impl Strategy<Value = (u64, usize, bool, u64, bool)> {
         (0..40u64, 0..3usize, any::<bool>(), 0..20u64, proptest::bool::weighted(0.3))
     }
--- a/crates/balance/src/names.rs
+++ b/crates/balance/src/names.rs
@@ -1,4 +1,4 @@
-//! The numbers by which the module knows endpoints, and the names behind them.
+//! Maps the names of endpoints to the ids by which the balancer knows them.
 
 use crate::types::EndpointId;
 use fnv::FnvHasher;
@@ -12,9 +12,9 @@
 }
 
 impl EndpointNames {
-    /// The id of a name, new if it was never seen.
+    /// Returns the id of a name, assigning one to a new name.
     pub fn intern(&mut self, name: &str) -> EndpointId {
-        // FNV-1a: the same on every machine and in every release, as std's hashers are not.
+        // FNV-1a: the same on every machine and in every release, unlike the hashers of std.
         let mut hasher = FnvHasher::default();
         hasher.write(name.as_bytes());
         let mut id = EndpointId(hasher.finish());
@@ -22,33 +22,33 @@
             if known == name {
                 return id;
             }
-            id = EndpointId(id.0.wrapping_add(1)); // another name has this hash
+            id = EndpointId(id.0.wrapping_add(1)); // hash collision with another name
         }
         self.names.insert(id, name.to_owned());
         id
     }
 
-    /// The id of a name that was seen.
+    /// Returns the id of a known name.
     pub fn find(&self, name: &str) -> Option<EndpointId> {
         self.names.iter().find(|(_, known)| *known == name).map(|(&id, _)| id)
     }
 
-    /// Keeps only the names of these: endpoints come under new names for ever.
+    /// Keeps only the names of ids for which `keep` returns true: there is no end of new endpoint names.
     pub fn retain(&mut self, keep: impl Fn(EndpointId) -> bool) {
         self.names.retain(|&id, _| keep(id));
     }
 
-    /// How many names are kept.
+    /// The number of names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether none is kept.
+    /// Whether there are no names.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 
-    /// The name of an id given out before.
+    /// Returns the name of an id, or `-` for an unknown id.
     pub fn name(&self, id: EndpointId) -> &str {
         self.names.get(&id).map_or("-", String::as_str)
     }
--- a/crates/balance/src/stats.rs
+++ b/crates/balance/src/stats.rs
@@ -9,12 +9,12 @@
 pub(crate) const MIN_LATENCY_SAMPLES: u32 = 20;
 /// Weight of one further latency in the running mean.
 const LATENCY_WEIGHT: f64 = 0.05;
-/// The baseline follows the mean for this many answers; after that it follows only a falling mean. It is less than
-/// twenty because, where each of many balancers has few calls, an overload can form before twenty answers have
-/// come, and would be taken for normal.
+/// The baseline follows the mean for this many answers; after that it follows only a falling mean. It is
+/// less than twenty because, where each of many balancers has few calls, an overload can form before twenty
+/// answers have come, and would be taken for normal.
 pub(crate) const BASELINE_SAMPLES: u32 = 5;
-/// Seconds in which the baseline rises by two thirds of the way to the mean. The rise depends on time and is slow:
-/// otherwise an overload would be taken for normal, the sooner the more calls a balancer has.
+/// Seconds in which the baseline rises by two thirds of the way to the mean. The rise depends on time and
+/// is slow: otherwise an overload would be taken for normal, the sooner the more calls a balancer has.
 const BASELINE_RISE_SECONDS: f64 = 60.0;
 
 /// A value as of `at` that decays exponentially: to about a third (1/e) in each time constant, in seconds.
@@ -33,7 +33,7 @@
     if micros < 0 { at.saturating_sub(by) } else { at.saturating_add(by) }
 }
 
-/// What is left of a value after so many seconds, if it falls to a third in `third`.
+/// The fraction of a value that is left after `seconds`; 1/e after one time constant.
 fn decay(seconds: f64, time_constant: f64) -> f64 {
     (-seconds / time_constant).exp()
 }
@@ -97,8 +97,8 @@
         LatencyStats { at: shifted(self.at, micros), ..self }
     }
 
-    /// The mean plus `spreads` mean deviations. A deviation counts as at least a quarter of the mean: even where all
-    /// latencies are alike, the next may be a little longer.
+    /// The mean plus `spreads` mean deviations. A deviation counts as at least a quarter of the mean: even
+    /// where all latencies are alike, the next may be a little longer.
     pub(crate) fn overdue(&self, spreads: f64) -> Duration {
         Duration::from_secs_f64(self.mean + spreads * self.spread.max(self.mean / 4.0))
     }
--- a/crates/balance/src/types.rs
+++ b/crates/balance/src/types.rs
@@ -1,6 +1,6 @@
-//! The module's whole interface: settings, events, actions and outcomes.
+//! The interface of the balancer: settings, events, actions and outcomes.
 //!
-//! Times are `Duration`s on the caller's clock, which may start anywhere.
+//! Times are `Duration`s on the caller's clock, which may start at any point.
 
 mod actions;
 mod classes;
--- a/crates/balance/src/types/actions.rs
+++ b/crates/balance/src/types/actions.rs
@@ -1,28 +1,28 @@
-//! What a balancer wants done.
+//! The actions that a balancer requests.
 
 use super::{AttemptNo, EndpointId, RequestId, TimerToken};
 use std::time::Duration;
 
-/// Something to do.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// Give up on it after this long.
+        /// Give up on the attempt after this long.
         timeout: Duration,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Final answer: refused; a retry by the client is harmless.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Advice to stay away this long.
+        /// How long the client is advised to wait.
         retry_after: Option<Duration>,
     },
-    /// Final answer: failed; nothing is promised.
+    /// Final answer: failed, without any promise about a retry.
     Fail {
         /// The request.
         request: RequestId,
@@ -34,23 +34,23 @@
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Wake the balancer.
+    /// Wake the balancer with [`Event::Timer`](crate::Event::Timer).
     SetTimer {
-        /// Comes back with the event.
+        /// Returned with the event.
         token: TimerToken,
-        /// From now.
+        /// The delay from now.
         after: Duration,
     },
-    /// A timer whose coming would bring nothing about any more. A host that can't take it back may let it come.
+    /// Cancel a timer that would have no effect any more. A caller that can't cancel it may let it fire.
     CancelTimer {
-        /// As it was set with.
+        /// The token with which it was set.
         token: TimerToken,
     },
-    /// Follow changes of the endpoint list (or stop).
+    /// Start or stop following changes of the endpoint list.
     Watch(bool),
-    /// Ask for the complete list once.
+    /// Fetch the complete endpoint list once.
     FetchList,
-    /// Ask an endpoint for its load.
+    /// Query the load of an endpoint.
     Probe {
         /// The endpoint.
         endpoint: EndpointId,
@@ -60,6 +60,6 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// A line for the operators.
+    /// A log line for operators.
     Log(String),
 }
--- a/crates/balance/src/types/classes.rs
+++ b/crates/balance/src/types/classes.rs
@@ -6,19 +6,19 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Answers within this time earn the full worth.
+    /// Answers within this time earn the full value.
     pub objective: Duration,
-    /// The time a client waits in all.
+    /// How long a client waits in total.
     pub deadline: Duration,
-    /// What a repeat may do.
+    /// Whether a request may be executed again.
     pub semantics: Semantics,
-    /// Fraction of the worth for an answer after the objective.
+    /// Fraction of the value that is left for an answer after the objective.
     pub late_value: f64,
     /// The answer is streamed.
     pub streamed: bool,
-    /// Worth of one request.
+    /// The value of one request.
     pub worth: f64,
-    /// The objective grows by this multiple of the request's own work, up to the deadline.
+    /// The objective is extended by this multiple of the request's own work, up to the deadline.
     pub aim_stretch: f64,
 }
 
@@ -36,14 +36,14 @@
     }
 }
 
-/// Whether a request may run again.
+/// Whether a request may be executed again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Semantics {
-    /// Any repeat is harmless.
+    /// Any repetition is harmless.
     Safe,
-    /// Endpoints of one group drop repeats for a while.
+    /// Endpoints of one group drop repetitions with the same key for a while.
     Keyed {
-        /// Which endpoints drop each other's repeats.
+        /// The group of endpoints that share their knowledge of keys.
         group: DeduplicationScope,
         /// For how long, from the first send that may have run.
         window: Duration,
@@ -53,7 +53,8 @@
 }
 
 impl Semantics {
-    /// Whether a job may be sent again now; `first` is when it was first sent, if that may have run.
+    /// Whether a request may be sent again now. `first` is when it was first sent, if that attempt may have
+    /// run.
     pub fn may_retry(self, now: Duration, first: Option<Duration>) -> bool {
         match (self, first) {
             (_, None) | (Semantics::Safe, _) => true,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Whether a job that may have run at one place may be sent to another.
+    /// Whether a request that may have run at `ran` may be sent to `to`.
     pub fn may_retry_at(self, ran: (ZoneId, CellId), to: (ZoneId, CellId)) -> bool {
         match self {
             Semantics::Keyed { group: DeduplicationScope::Zone, .. } => ran.0 == to.0,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Whether a client may try again wherever it likes.
+    /// Whether the client may safely retry at any balancer.
     pub fn client_may_retry(self, may_have_run: bool) -> bool {
         match self {
             Semantics::Safe | Semantics::Keyed { group: DeduplicationScope::All, .. } => true,
@@ -82,7 +83,7 @@
     }
 }
 
-/// The endpoints among which a keyed repeat is dropped.
+/// The group of endpoints within which repetitions of a key are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All endpoints.
@@ -93,10 +94,10 @@
     Cell,
 }
 
-/// A tenant and what it may ask for.
+/// A tenant and its share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second within its share, over all balancers.
+    /// Requests per second within its share, over all balancers.
     pub allowance_per_s: f64,
     /// Its fraction of the service.
     pub portion: f64,
--- a/crates/balance/src/types/endpoints.rs
+++ b/crates/balance/src/types/endpoints.rs
@@ -1,12 +1,12 @@
-//! What discovery says of endpoints, and what may go into their zones.
+//! Endpoint information from discovery, and limits on what may be sent to zones.
 
 use super::{CellId, EndpointId, MachineKindId, ZoneId};
 use std::time::Duration;
 
-/// What discovery says of one endpoint.
+/// The information on one endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointInfo {
-    /// Which endpoint.
+    /// The endpoint.
     pub id: EndpointId,
     /// Its zone.
     pub zone: ZoneId,
@@ -14,7 +14,7 @@
     pub machine_kind: MachineKindId,
     /// Its cell.
     pub cell: CellId,
-    /// Whether it may be sent to.
+    /// Whether requests may be sent to it.
     pub state: EndpointState,
     /// Its weight, see [`WeightKind`](crate::WeightKind).
     pub weight: f64,
@@ -23,7 +23,7 @@
 }
 
 impl EndpointInfo {
-    /// A warm, ready endpoint of zone 0, for tests and first steps.
+    /// A warm, ready endpoint of zone 0, for tests and examples.
     pub fn ready(id: u64) -> Self {
         EndpointInfo {
             id: EndpointId(id),
@@ -37,51 +37,52 @@
     }
 }
 
-/// An endpoint's standing in the list.
+/// An endpoint's state in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// May be sent to.
+    /// Requests may be sent to it.
     Ready,
-    /// Finishing its work; nothing new may be sent.
+    /// Finishing its work; no new request may be sent.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// What discovery brings.
+/// An update from discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Membership {
-    /// The complete list: what is missing from it is gone.
+    /// The complete list: endpoints missing from it are gone.
     Full(Vec<EndpointInfo>),
-    /// The complete list as last held, possibly stale; brought at the start.
+    /// The last known complete list, possibly stale; used at startup.
     Cached(Vec<EndpointInfo>),
     /// Changed entries only.
     Delta(Vec<EndpointInfo>),
-    /// A call to discovery failed or the subscription broke; the list stays.
+    /// A call to discovery failed or the subscription broke off; the list stays in use.
     Failed,
-    /// A call for the list was answered by a refusal: discovery is there, and can't serve all who call it.
+    /// Discovery refused a call: it is running, but can't serve all its callers.
     Refused,
 }
 
-/// What may go into zones, by zone.
+/// What may be sent to zones, by zone.
 pub type ZoneAdmissions = Vec<(ZoneId, ZoneAdmission)>;
 
-/// What may go into a zone.
+/// What may be sent to a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ZoneAdmission {
     /// Anything.
     Open,
-    /// This part of the requests, 0 to 1.
+    /// This fraction of the requests, 0 to 1.
     Fraction(f64),
-    /// So many calls a second until then, and nothing from then on.
+    /// This many calls per second until a given time, and nothing after it.
     Rate {
-        /// Calls a second.
+        /// Calls per second.
         per_s: f64,
-        /// On the module's clock.
+        /// On the balancer's clock.
         until: Duration,
     },
-    /// Nothing new; what is out goes on.
+    /// Nothing new; attempts in flight go on.
     Closed,
-    /// Nothing new, and what is out there goes elsewhere as its class permits: nobody answers.
+    /// Nothing new, and attempts in flight are retried elsewhere as their class permits: the zone does not
+    /// answer.
     Unreachable,
 }
--- a/crates/balance/src/types/events.rs
+++ b/crates/balance/src/types/events.rs
@@ -1,4 +1,4 @@
-//! What a balancer is told while it runs.
+//! The events that a balancer handles.
 
 use super::{
     AttemptNo, CellId, ClassId, EndpointId, Membership, RequestId, TenantId, TimerToken, ZoneAdmissions,
@@ -6,29 +6,30 @@
 };
 use std::time::Duration;
 
-/// Something that happened.
+/// An event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News from discovery.
+    /// An update from discovery.
     Membership(Membership),
-    /// From then on nothing new may begin by the list that is held, until the next such word or list; none while
-    /// nothing bounds its use.
+    /// After this time no attempt may be started by the current list, until the next lease or list. None
+    /// while nothing limits its use.
     ListLease {
         /// On the balancer's clock.
         expires: Option<Duration>,
     },
-    /// A request arrived and is owed one final answer.
+    /// A request arrived and must get one final answer.
     Request(Request),
-    /// More of a coming body has gone to an endpoint than is kept: no further attempt can be made.
+    /// More of an incomplete body has been sent to an endpoint than is kept: no further attempt is
+    /// possible.
     BodyNotReplayable(RequestId),
-    /// A coming body has come whole; the request's time begins to run.
+    /// An incomplete body has been received completely; the request's time starts now.
     BodyComplete {
         /// The request.
         request: RequestId,
-        /// Time until the client gives this try up.
+        /// Time until the client gives up on this request.
         time_left: Duration,
     },
-    /// A streamed answer has begun; the client owns the attempt now.
+    /// A streamed answer has started; from now on the attempt belongs to the client.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -37,35 +38,36 @@
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
-    /// The client left, or its answer is overdue; nothing is owed any more.
+    /// The client has left, or its answer is overdue; no answer is expected any more.
     RequestAbandoned(RequestId),
-    /// A timer came due.
+    /// A timer expired.
     Timer(TimerToken),
     /// A probe ended.
     ProbeEnded {
-        /// The endpoint asked.
+        /// The probed endpoint.
         endpoint: EndpointId,
-        /// How it went.
+        /// The result.
         outcome: Outcome,
         /// Time since sending.
         elapsed: Duration,
         /// The values of [`LoadReports::fields`](crate::LoadReports::fields), if any came.
         report: Option<Vec<f64>>,
     },
-    /// An operator takes an endpoint out of use, or gives it back; it need not be in the list.
+    /// An operator bans an endpoint or lifts its ban; it need not be in the list.
     Ban {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Out of use, rather than back.
+        /// Whether it is banned now.
         banned: bool,
     },
-    /// What may go into zones from now on, all of them; a zone that is not named is open.
+    /// What may be sent to zones from now on. It replaces all previous limits; zones that are not named are
+    /// open.
     Zones(ZoneAdmissions),
     /// A message from another balancer of this tier.
     PeerMessage {
         /// The sender's number.
         from: u32,
-        /// What it said.
+        /// The content of the message.
         payload: Vec<u8>,
     },
 }
@@ -97,30 +99,31 @@
     pub class: ClassId,
     /// Its tenant.
     pub tenant: TenantId,
-    /// Time until the client gives this try up.
+    /// Time until the client gives up on this request.
     pub time_left: Duration,
     /// Expected work on a standard core, where known.
     pub work_hint: Option<Duration>,
-    /// What it is about; requests with one key belong together.
+    /// Identifies what it concerns; requests with the same key belong together.
     pub key: Option<u64>,
-    /// The client says this is a repeat.
+    /// The client marked it as a retry.
     pub client_retry: bool,
-    /// Its body is long and still comes: its time begins to run with [`Event::BodyComplete`].
+    /// Its body is long and not received completely: its time starts with [`Event::BodyComplete`].
     pub body_incomplete: bool,
-    /// It writes.
+    /// It is a write.
     pub write: bool,
-    /// Where the same job may have run already, by another process or for another request.
+    /// An attempt of the same job that may have run already, made by another process or for another
+    /// request.
     pub earlier_attempt: Option<EarlierAttempt>,
 }
 
-/// A send of a keyed job that may have run.
+/// An attempt of a keyed job that may have run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EarlierAttempt {
-    /// The zone that it went to.
+    /// The zone to which it was sent.
     pub zone: ZoneId,
-    /// The cell that it went to.
+    /// The cell to which it was sent.
     pub cell: CellId,
-    /// When: the window in which endpoints drop a repeat runs from then on.
+    /// When it was sent: the window in which endpoints drop repetitions starts then.
     pub sent: Duration,
 }
 
@@ -131,13 +134,13 @@
     pub request: RequestId,
     /// The attempt.
     pub attempt: AttemptNo,
-    /// Where it was sent.
+    /// The endpoint to which it was sent.
     pub endpoint: EndpointId,
     /// How it ended.
     pub outcome: Outcome,
     /// Time since sending.
     pub elapsed: Duration,
-    /// The request is finished, by this outcome or before it.
+    /// Whether the request is finished, by this outcome or before it.
     pub finished: bool,
     /// The values of [`LoadReports::fields`](crate::LoadReports::fields), if any came.
     pub report: Option<Vec<f64>>,
@@ -150,20 +153,20 @@
     Ok,
     /// The endpoint answered with an error; it may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected without being processed.
     Rejected,
     /// No answer in time; it may have run.
     TimedOut,
-    /// No connection came up.
+    /// No connection could be established.
     ConnectFailed,
-    /// This machine itself could open no connection: it has no descriptor, port, memory or route for one.
-    /// That says nothing of the endpoint.
+    /// This machine itself could open no connection: it lacks a descriptor, port, memory or route for it.
+    /// This says nothing about the endpoint.
     LocalFault,
     /// The connection broke; it may have run.
     Reset,
     /// Cancelled; it may have run.
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     NotSent,
 }
 
--- a/crates/balance/src/types/ids.rs
+++ b/crates/balance/src/types/ids.rs
@@ -2,11 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A request as its host names it; never used again once finished.
+/// A request's id, assigned by the caller and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
-/// A server process that requests can be sent to; survives restarts of the process. All balancers should know
-/// an endpoint by the same number, such as a hash of its address: callers inside a tier divide the endpoints by it.
+/// A server process to which requests can be sent; it stays the same over restarts of the process. All
+/// balancers should know an endpoint by the same number, such as a hash of its address, because callers
+/// inside a tier divide the endpoints by it.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 pub struct EndpointId(pub u64);
 /// Number of an attempt within its request: 0, 1, 2 ... in the order sent.
@@ -18,15 +19,15 @@
 /// Index into [`Settings::tenants`](crate::Settings::tenants).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
-/// A zone (data centre); crossing zones may cost.
+/// A zone (data centre). Crossing zones may have a cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ZoneId(pub u32);
-/// A small set of endpoints that share which repeat keys they have seen.
+/// A small set of endpoints that share the idempotency keys they have seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CellId(pub u64);
 /// A machine kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MachineKindId(pub u32);
-/// Names a timer of the balancer's own.
+/// Identifies a timer of the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TimerToken(pub u64);
--- a/crates/balance/src/types/settings.rs
+++ b/crates/balance/src/types/settings.rs
@@ -1,55 +1,59 @@
-//! What a balancer is told when it is made.
+//! The settings of a balancer.
 
 use super::{Class, Tenant, ZoneId};
 use std::time::Duration;
 
-/// Everything a balancer is told when it is made.
+/// The settings of a balancer.
+///
+/// The names of their types, fields and variants are part of the fingerprint that a stored snapshot is
+/// checked against, because it hashes the `Debug` text of the settings: a rename invalidates stored
+/// snapshots.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Balancers in this tier, this one included.
+    /// The number of balancers in this tier, including this one.
     pub balancers: u32,
     /// This balancer's number among them.
     pub me: u32,
-    /// Zone this balancer runs in.
+    /// The zone in which this balancer runs.
     pub zone: ZoneId,
-    /// Zones of the deployment.
+    /// The number of zones in the deployment.
     pub zones: u32,
-    /// The tier it sends to: 0 takes the clients' requests.
+    /// The tier to which it sends. Tier 0 receives the clients' requests.
     pub tier: u32,
-    /// Tiers of the deployment.
+    /// The number of tiers in the deployment.
     pub tiers: u32,
     /// Request classes.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request above its tenant's share, as a fraction of the class's worth.
+    /// Value of a request over its tenant's share, as a fraction of the class's value.
     pub over_share_worth: f64,
     /// How the endpoint list reaches the balancer.
     pub discovery: Discovery,
     /// What the deployment allows.
     pub limits: Limits,
-    /// Figures of the four rules.
+    /// Parameters of the four rules.
     pub rules: Rules,
-    /// What the result is made of.
+    /// What the overall result consists of.
     pub goal: Goal,
-    /// Prices.
+    /// Costs that reduce the result.
     pub costs: Costs,
-    /// What load reports hold and how they come.
+    /// The content of load reports and how they are received.
     pub load_reports: LoadReports,
     /// What [`EndpointInfo::weight`](crate::EndpointInfo::weight) means.
     pub weights: WeightKind,
-    /// Least time between two rounds of events.
+    /// Minimum time between two rounds of events.
     pub tick: Duration,
-    /// Calls to the next tier carry the caller's time left rather than the class's deadline.
+    /// Whether calls to the next tier carry the caller's remaining time rather than the class's deadline.
     pub passes_deadline: bool,
-    /// An endpoint that served a key of late serves it with less work.
+    /// Whether an endpoint that recently served a key serves it again with less work.
     pub warm_keys: bool,
-    /// Clients mark their repeats, see [`Request::client_retry`](crate::Request::client_retry).
+    /// Whether clients mark their retries, see [`Request::client_retry`](crate::Request::client_retry).
     pub clients_mark_retries: bool,
 }
 
 impl Default for Settings {
-    /// One balancer, one class, one zone, a list that is pushed.
+    /// One balancer, one class, one zone, and a list that is pushed.
     fn default() -> Self {
         Settings {
             balancers: 1,
@@ -79,9 +83,9 @@
 /// How the endpoint list reaches the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes come by themselves.
+    /// Changes are pushed.
     Push,
-    /// Only what is asked for comes.
+    /// Changes have to be queried.
     Ask,
 }
 
@@ -94,25 +98,26 @@
     pub probes: bool,
     /// Messages to other balancers may be sent.
     pub peers: bool,
-    /// Refusals may carry advice on when to come back.
+    /// Refusals may advise when to retry.
     pub retry_after: bool,
-    /// Longest such advice that clients heed.
+    /// The longest such delay that clients follow.
     pub max_retry_after: Duration,
-    /// Two attempts of one request may be out at once.
+    /// Two attempts of one request may be in flight at once.
     pub second_copies: bool,
-    /// Attempts a request may have.
+    /// The maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// A connection not up after this long has failed.
+    /// A connection that is not established after this long has failed.
     pub connect_timeout: Duration,
-    /// Simultaneous attempts one connection carries.
+    /// Simultaneous attempts that one connection carries.
     pub streams_per_connection: u32,
-    /// Idle connections are closed after this long; zero where nothing is said.
+    /// Idle connections are closed after this long; zero if not stated.
     pub idle_close: Duration,
-    /// Open requests this balancer may have; more are turned away before they reach it. Zero: not stated.
+    /// Open requests that this balancer may have; more are rejected before they reach it. Zero if not
+    /// stated.
     pub open_cap: u32,
-    /// Processor time this balancer may use in a second; zero: not stated.
+    /// Processor time that this balancer may use per second; zero if not stated.
     pub cpu_per_s: Duration,
-    /// Processor time for a request with its outcomes; zero: no limit.
+    /// Processor time for a request including its outcomes; zero means no limit.
     pub cpu_per_request: Duration,
 }
 
@@ -136,16 +141,16 @@
     }
 }
 
-/// Figures of the four rules.
+/// Parameters of the four rules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// With [`Discovery::Ask`]: ask again within this.
+    /// With [`Discovery::Ask`]: the maximum time between two queries.
     pub ask_within: Duration,
-    /// A cold endpoint starts at this fraction of its capacity or more.
+    /// A cold endpoint starts with at least this fraction of its capacity.
     pub cold_share: f64,
-    /// And is warm within this.
+    /// It is warm within this time.
     pub warm_within: Duration,
-    /// Sends to a draining endpoint must stop within this.
+    /// Sends to a draining endpoint must stop within this time.
     pub drain_grace: Duration,
     /// A cold endpoint sent more than this multiple of its capacity ...
     pub fall_multiple: f64,
@@ -169,22 +174,23 @@
     }
 }
 
-/// What the result is made of: weights of its parts.
+/// The weights of the parts of the overall result.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Goal {
     /// The whole day.
     pub whole: f64,
-    /// The worst ten seconds.
+    /// The worst span of ten seconds.
     pub worst_window: f64,
     /// The worst-served class.
     pub worst_class: f64,
     /// The worst-served tenant, within its share.
     pub worst_tenant: f64,
-    /// Tenfold steps that the unserved share lies below the whole, over spans of five seconds.
+    /// The number of nines: factors of ten by which the unserved share is smaller than the whole, over
+    /// spans of five seconds.
     pub nines: f64,
-    /// So many such steps earn that weight in full; not a weight.
+    /// The number of nines that earns that weight in full; not a weight itself.
     pub nines_wanted: f64,
-    /// What worth is reckoned by.
+    /// The unit in which value is counted.
     pub counted_by: CountedBy,
 }
 
@@ -202,58 +208,58 @@
     }
 }
 
-/// What worth is reckoned by.
+/// The unit in which value is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CountedBy {
-    /// Each request counts alike within its class.
+    /// Each request of a class counts the same.
     Request,
-    /// Worth is for each unit of work, see [`Request::work_hint`](crate::Request::work_hint).
+    /// Value is per unit of work, see [`Request::work_hint`](crate::Request::work_hint).
     Work,
 }
 
-/// Prices, in points of the result.
+/// Costs, in points of the result.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Costs {
     /// Mean open connections, over a hundred for each endpoint.
     pub connection: f64,
-    /// List lines sent, over a hundred for each first try.
+    /// List lines sent, over a hundred for each first attempt.
     pub discovery: f64,
-    /// Attempts that cross zones, a first try.
+    /// Attempts that cross zones, per first attempt.
     pub cross_zone: f64,
     /// Work that produced no answer, as a fraction of the work offered.
     pub waste: f64,
-    /// New connections, a first try.
+    /// New connections, per first attempt.
     pub handshake: f64,
-    /// Probes, a first try.
+    /// Probes, per first attempt.
     pub probe: f64,
-    /// Worth left unserved after its objective had passed.
+    /// Value left unserved after its objective had passed.
     pub late_fail: f64,
 }
 
-/// What load reports hold and how they come.
+/// The content of load reports and how they are received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadReports {
-    /// How they come.
+    /// How they are received.
     pub via: ReportVia,
     /// Their values, in order.
     pub fields: Vec<LoadField>,
 }
 
-/// How load reports come.
+/// How load reports are received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportVia {
     /// Never.
     Off,
     /// With every outcome and probe.
     Inline,
-    /// With probes alone.
+    /// With probes only.
     Probe,
 }
 
 /// One value of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadField {
-    /// Requests being handled.
+    /// Requests in progress.
     Outstanding,
     /// Requests queued.
     Backlog,
@@ -261,11 +267,11 @@
     Utilization,
     /// Recent service time in milliseconds.
     RecentMs,
-    /// Requests served a second.
+    /// Requests served per second.
     Throughput,
-    /// Errors a second.
+    /// Errors per second.
     ErrorsPerS,
-    /// A value this version does not know.
+    /// A value unknown to this version.
     Other,
 }
 
@@ -278,6 +284,6 @@
     Nominal,
     /// Roughly its size.
     Rough,
-    /// Its size over one plus the requests it held for each core, some time ago.
+    /// Its size divided by one plus the number of requests per core that it held, as of some time ago.
     Live,
 }
--- a/crates/balance/src/types/validation.rs
+++ b/crates/balance/src/types/validation.rs
@@ -1,38 +1,38 @@
-//! Checks of settings: each field that makes no sense is named.
+//! Validation of settings. An error names each field with an invalid value.
 
 use super::Settings;
 use thiserror::Error;
 
-/// Settings that make no sense.
+/// An invalid setting.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingsError {
-    /// There is no class to serve.
+    /// There are no classes.
     #[error("classes: there must be at least one")]
     NoClasses,
     /// A value lies outside its range.
     #[error("{field}: {value} is out of range, {low} to {high}")]
     OutOfRange {
-        /// The setting, by its path.
+        /// The path of the setting.
         field: String,
         /// Its value.
         value: f64,
-        /// The least that it may be.
+        /// The minimum.
         low: f64,
-        /// The most.
+        /// The maximum.
         high: f64,
     },
 }
 
 impl Settings {
-    /// Checks that the settings make sense.
+    /// Checks that the settings are valid.
     ///
     /// # Errors
-    /// The first problem of [`Settings::problems`].
+    /// Returns the first of [`Settings::problems`].
     pub fn validate(&self) -> Result<(), SettingsError> {
         self.problems().into_iter().next().map_or(Ok(()), Err)
     }
 
-    /// All that makes no sense, field by field.
+    /// Returns all invalid fields.
     pub fn problems(&self) -> Vec<SettingsError> {
         let mut problems = Vec::new();
         if self.classes.is_empty() {
--- a/crates/balance/src/uses.rs
+++ b/crates/balance/src/uses.rs
@@ -1,10 +1,11 @@
-//! How much of its allowance each tenant uses, with the median tenant always known. Nothing is decided here.
+//! How much of its allowance each tenant uses, with the median tenant always known. Nothing is decided
+//! here.
 //!
-//! All rates decay by the same factor, so their order changes only when a request is counted. They are ordered by
-//! `ln(rate / allowance) + (at - origin) / time_constant`: the logarithm of what the rate would have been at the
-//! origin, which does not overflow. Ten days from the origin it still distinguishes rates that differ by one part in
-//! ten billion. From the year 1970, where the sidecar's clock starts, it could not distinguish one part in ten
-//! million.
+//! All rates decay by the same factor, so their order changes only when a request is counted. They are
+//! ordered by `ln(rate / allowance) + (at - origin) / time_constant`: the logarithm of what the rate would
+//! have been at the origin, which does not overflow. Ten days from the origin it still distinguishes rates
+//! that differ by one part in ten billion. From the year 1970, where the sidecar's clock starts, it could
+//! not distinguish one part in ten million.
 
 use crate::stats::DecayingValue;
 use ordered_float::OrderedFloat;
--- a/crates/balance/src/zones.rs
+++ b/crates/balance/src/zones.rs
@@ -1,5 +1,5 @@
-//! Holds what may be sent to each zone and counts what is sent. The limits themselves are decided elsewhere, by the
-//! fleet if there is one.
+//! Holds what may be sent to each zone and counts what is sent. The limits themselves are decided
+//! elsewhere, by the fleet if there is one.
 
 use crate::types::{ZoneAdmission, ZoneId};
 use std::collections::BTreeMap;
@@ -24,7 +24,8 @@
 
 impl ZoneLimits {
     /// Replaces all limits. Returns the zones that have just become unreachable. A new rate starts with
-    /// `initial_tokens` of a call, so that many balancers that start one together don't all send a call at once.
+    /// `initial_tokens` of a call, so that many balancers that start one together don't all send a call at
+    /// once.
     pub(crate) fn set(
         &mut self,
         now: Duration,
