--- a/crates/connection-quota/src/lib.rs
+++ b/crates/connection-quota/src/lib.rs
@@ -22,8 +22,8 @@
 /// The maximum wait after the first refusal by a full endpoint; it doubles with each consecutive refusal, up to
 /// [`MAX_BACKOFF`].
 pub const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
-/// The maximum wait after any refusal. With full jitter, an endpoint that stays full costs each sidecar one connect in five
-/// seconds on average.
+/// The maximum wait after any refusal. With full jitter, an endpoint that stays full costs each sidecar one connect
+/// in five seconds on average.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
 /// The settings of a quota, fixed while a sidecar runs.
--- a/crates/discovery-client/src/calls.rs
+++ b/crates/discovery-client/src/calls.rs
@@ -1,50 +1,51 @@
-//! Calls to discovery that are out.
+//! Calls to discovery that have not ended.
 
 use std::time::Duration;
 
-/// The number of a call, from 1 in the order made.
+/// Identifies a call: calls are numbered from 1 in the order in which they are made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// Which of the servers that configurations have named, in their order: versions of two servers never compare.
+/// The number of a discovery server, in the order in which configurations have named them. List versions of different
+/// servers are not comparable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Epoch(pub u32);
 
-/// What is asked for.
+/// What a call requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// A watch on changes after this version; 0 where none of that server's versions is held.
+    /// A watch on changes after a version.
     Watch {
-        /// The version.
+        /// The version; 0 if no version of the list of that server is known.
         after: u64,
     },
     /// The whole list, once.
     WholeList,
 }
 
-/// How far a call has come.
+/// The state of a call that has not ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Progress {
-    /// Nothing has come yet.
-    Waiting,
-    /// It is a watch that is up.
-    Up,
+pub(crate) enum CallState {
+    /// Nothing has been received yet.
+    Pending,
+    /// The call is an open watch.
+    Open,
 }
 
-/// A call that is out.
+/// A call that has not ended.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct OutCall {
+pub(crate) struct ActiveCall {
     pub id: CallId,
     pub epoch: Epoch,
     pub kind: CallKind,
-    pub began: Duration,
-    pub progress: Progress,
-    /// The version held as it began.
-    pub held: u64,
+    pub started_at: Duration,
+    pub state: CallState,
+    /// The version of the current list when the call started.
+    pub version_at_start: u64,
 }
 
-impl OutCall {
-    pub fn is_waiting_watch(&self) -> bool {
-        self.progress == Progress::Waiting && matches!(self.kind, CallKind::Watch { .. })
+impl ActiveCall {
+    pub fn is_pending_watch(&self) -> bool {
+        self.state == CallState::Pending && matches!(self.kind, CallKind::Watch { .. })
     }
 }
--- a/crates/discovery-client/src/client.rs
+++ b/crates/discovery-client/src/client.rs
@@ -1,7 +1,7 @@
-//! The state machine that follows a list.
+//! The state machine that keeps the endpoint list up to date.
 
 use crate::backoff::Backoff;
-use crate::calls::{CallId, CallKind, Epoch, OutCall, Progress};
+use crate::calls::{ActiveCall, CallId, CallKind, CallState, Epoch};
 use crate::lease::{FailedCall, Lease, LeaseState, Reachability};
 use crate::timing::{
     IMMEDIATE_REFUSAL_LIMIT, MAX_JITTER, MAX_WATCH_CALLS, SECOND_CALL_AFTER, SERVER_CHANGE_DEBOUNCE,
@@ -14,156 +14,157 @@
 use rand_pcg::Pcg32;
 use std::time::Duration;
 
-/// Calls that are out at once, over all servers, at the most.
-const MAX_CALLS_OUT: usize = 8;
+/// The maximum number of concurrent calls, to all servers together.
+const MAX_ACTIVE_CALLS: usize = 8;
 
-/// How lists reach the process.
+/// How changes of the list count as notified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// What discovery has counts as notified whether or not a watch is open.
+    /// A change counts as notified as soon as discovery has it, whether or not a watch is open.
     Push,
-    /// What comes on a watch or in an answer counts as notified.
+    /// A change counts as notified when it arrives on a watch or in an answer.
     Ask,
 }
 
-/// What the settings say of the list.
+/// The settings that bound the use of a list.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseSettings {
-    /// A process that has neither watched nor asked for so long counts as notified of what was listed then.
+    /// A process that has neither watched nor called discovery for this long counts as notified of the changes until
+    /// then.
     pub ask_within: Duration,
-    /// What is sent to an endpoint that leaves must end within this.
+    /// Requests to an endpoint that is leaving must end within this time.
     pub drain_grace: Duration,
 }
 
-/// How a call or a watch ended.
+/// Why a call or a watch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// It was answered, and not by a list: discovery, or what stands for it, does not serve it.
+    /// It was answered, but not with a list: discovery, or a proxy in front of it, refused the call.
     Refused,
-    /// This machine could not make it: nothing reached discovery.
+    /// The call failed on this machine, and nothing reached discovery.
     LocalError,
     /// No connection was established.
     NotConnected,
-    /// There was no answer in time, or the connection broke before one.
+    /// No answer was received in time, or the connection broke before one.
     NoResponse,
-    /// Anything else: an answer that is no list, or a watch that was ended in order.
+    /// Anything else: the answer is not a list, or discovery closed the watch normally.
     Failed,
-    /// A watch that was up brought nothing for too long.
+    /// Nothing was received on an open watch for too long.
     Silent,
-    /// The connection of a watch that was up was reset: its process, or what is between, is gone.
+    /// The connection of an open watch was reset: the discovery process, or a host on the path to it, has failed.
     Reset,
 }
 
-/// What the host is to do.
+/// What the caller of the state machine has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Make a call to the server of this epoch.
+    /// Make a call to a server.
     Call {
-        /// Its number.
+        /// The number of the call.
         id: CallId,
-        /// Which server.
+        /// The server to call.
         epoch: Epoch,
-        /// What is asked for.
+        /// What to request.
         kind: CallKind,
     },
-    /// Close this call's connection: nothing of it counts any more.
+    /// Close the connection of this call, and ignore anything that it still brings.
     Cancel(CallId),
-    /// Take this list, or these changes.
+    /// Apply this whole list, or these changes.
     Apply(EndpointList),
-    /// It works again, and nothing has changed.
+    /// Discovery answers again, and the list has not changed.
     Unchanged,
-    /// A call brought nothing, or the watch ended; the list stays.
+    /// A call failed, or the watch ended. The current list stays.
     Report(Outcome),
 }
 
-/// What a call that brought nothing says of discovery.
+/// What a failed call shows about discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It may not be there.
+    /// Discovery may be unavailable.
     Failed,
-    /// It is there, and has more callers than it can serve.
+    /// Discovery is available, and has more callers than it can serve.
     Refused,
 }
 
-/// Follows the list of a discovery service.
+/// Keeps the endpoint list of a discovery service up to date.
 #[derive(Debug)]
 pub struct Client {
     versions: Versions,
     lease: Lease,
     backoff: Backoff,
     whole_list_backoff: Backoff,
-    draws: Pcg32,
-    /// The server to be followed.
-    target: Epoch,
+    rng: Pcg32,
+    /// The server that the current configuration names.
+    server: Epoch,
     following: bool,
-    calls: Vec<OutCall>,
+    calls: Vec<ActiveCall>,
     calls_made: u64,
-    /// When the next call for a watch on the target is due.
+    /// When the next watch call to the current server is due.
     next_watch: Option<Duration>,
-    /// When the next call for a whole list that is owed is due.
+    /// When the next call for a missing whole list is due.
     next_whole_list: Option<Duration>,
     last_watch_call: Duration,
-    /// The first of the moves to servers of which none was called yet.
-    unsettled_since: Option<Duration>,
-    /// The target has refused a call, and answered none since: it has too many callers.
-    crowded: bool,
-    /// One of the calls that are out for a watch on the target, or were along with them, was refused.
-    refused: bool,
-    /// For how long a call of those was held before it was refused, at the longest.
-    longest_refused: Duration,
+    /// The time of the first server change since the last watch call; none if there was no change since.
+    server_change_pending_since: Option<Duration>,
+    /// The current server has refused a call and answered none since: it has too many callers.
+    overloaded: bool,
+    /// A call in the current group of overlapping watch calls to the current server was refused.
+    any_refused: bool,
+    /// The longest time that a call of that group took until it was refused.
+    longest_refused_call: Duration,
     actions: Vec<Action>,
 }
 
 impl Client {
-    /// Follows nothing yet.
+    /// Creates a client that does not follow the list yet.
     pub fn new(mode: Mode, settings: LeaseSettings, seed: u64, now: Duration) -> Self {
         Client {
             versions: Versions::new(0),
             lease: Lease::new(mode, settings, now),
             backoff: Backoff::default(),
             whole_list_backoff: Backoff::default(),
-            draws: Pcg32::seed_from_u64(seed),
-            target: Epoch::default(),
+            rng: Pcg32::seed_from_u64(seed),
+            server: Epoch::default(),
             following: false,
             calls: Vec::new(),
             calls_made: 0,
             next_watch: None,
             next_whole_list: None,
             last_watch_call: now,
-            unsettled_since: None,
-            crowded: false,
-            refused: false,
-            longest_refused: Duration::ZERO,
+            server_change_pending_since: None,
+            overloaded: false,
+            any_refused: false,
+            longest_refused_call: Duration::ZERO,
             actions: Vec::new(),
         }
     }
 
-    /// The list known at the start has this version.
+    /// Sets the version of the list that is known at the start.
     pub fn set_initial_version(&mut self, version: u64) {
         self.versions = Versions::new(version);
     }
 
-    /// What is to be done, in order.
+    /// Returns the actions to carry out, in order.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// The bound on the use of the list.
+    /// Returns the lease, which bounds the use of the list.
     pub fn lease(&self) -> &Lease {
         &self.lease
     }
 
-    /// The version held.
+    /// The version of the current list.
     pub fn version(&self) -> u64 {
         self.versions.version()
     }
 
-    /// Whether a watch is up, on the target or on the server before it.
+    /// Whether a watch is open, on the current server or on an earlier one.
     pub fn is_watching(&self) -> bool {
-        self.watch_in_force().is_some()
+        self.open_watch().is_some()
     }
 
-    /// Follows the list from now on; if it does already and a watch is up, says that nothing has changed.
+    /// Starts to follow the list. If it is followed already and a watch is open, reports that nothing has changed.
     pub fn follow(&mut self, now: Duration) {
         if self.following {
             if self.is_watching() {
@@ -172,10 +173,10 @@
             return;
         }
         self.following = true;
-        self.call_watch(now);
+        self.start_watch_call(now);
     }
 
-    /// Follows the list no more.
+    /// Stops following the list.
     pub fn unfollow(&mut self) {
         self.following = false;
         (self.next_watch, self.next_whole_list) = (None, None);
@@ -186,74 +187,74 @@
         self.actions.push(Action::Unchanged);
     }
 
-    /// Asks for the whole list once, beside the watch. One such call is out at a time: what it brings answers whoever
-    /// asks meanwhile.
+    /// Requests the whole list once, in addition to the watch. At most one such call to the current server is active
+    /// at a time; its answer also serves requests made in the meantime.
     pub fn fetch(&mut self, now: Duration) {
-        if !self.calls.iter().any(|call| call.kind == CallKind::WholeList && call.epoch == self.target) {
-            self.call(now, CallKind::WholeList);
+        if !self.calls.iter().any(|call| call.kind == CallKind::WholeList && call.epoch == self.server) {
+            self.start_call(now, CallKind::WholeList);
         }
     }
 
-    /// Another server is to be followed. The watch on the one before is left, as a second one would cost discovery a turn
-    /// for each change; calls that wait for their turn there keep it, and what they bring counts until the new server
-    /// is heard.
+    /// Switches to another server. An open watch on the server before is cancelled, because discovery would have to
+    /// serve two watches for each change. Calls pending in the queue of that server continue, and their answers are
+    /// used until the new server has answered.
     pub fn server_changed(&mut self, now: Duration) {
-        let awaited = self.target > self.versions.epoch();
-        self.target = Epoch(self.target.0 + 1);
-        self.lease.server_changed(now, self.target);
+        let awaiting_answer = self.server > self.versions.epoch();
+        self.server = Epoch(self.server.0 + 1);
+        self.lease.server_changed(now, self.server);
         self.following = true;
-        self.crowded = false;
+        self.overloaded = false;
         self.backoff.reset();
         self.next_whole_list = None;
-        if let Some(up) = self.calls.iter().position(|call| call.progress == Progress::Up) {
-            self.abandon(up);
+        if let Some(at) = self.calls.iter().position(|call| call.state == CallState::Open) {
+            self.cancel(at);
             self.lease.watch_cancelled(now);
         }
-        if awaited {
-            let since = *self.unsettled_since.get_or_insert(now);
+        if awaiting_answer {
+            let since = *self.server_change_pending_since.get_or_insert(now);
             self.next_watch =
                 Some((now + SERVER_CHANGE_DEBOUNCE).min(since + SERVER_CHANGE_DEBOUNCE_LIMIT).max(now));
         } else {
-            self.call_watch(now);
+            self.start_watch_call(now);
         }
     }
 
-    /// A complete line of a watch: a list, changes, or an empty line.
+    /// Handles a complete line of a watch: a whole list, changes, or an empty line.
     pub fn watch_line(&mut self, now: Duration, id: CallId, list: Option<EndpointList>) {
         let Some(at) = self.calls.iter().position(|call| call.id == id) else { return };
         let call = self.calls[at];
-        match call.progress {
-            // Where no version of the server is held, an empty line confirms nothing.
-            Progress::Waiting if list.is_none() && call.epoch > self.versions.epoch() => {}
-            Progress::Waiting if self.opens(&call) => self.opened(now, at, list),
-            // The other call of two has opened before; departures in this one count as notified too.
-            Progress::Waiting => {
-                self.take_departures(call.epoch, list);
-                self.abandon(at);
+        match call.state {
+            // An empty line confirms nothing if no version of the list of that server is known.
+            CallState::Pending if list.is_none() && call.epoch > self.versions.epoch() => {}
+            CallState::Pending if self.becomes_open_watch(&call) => self.watch_opened(now, at, list),
+            // The other of two watch calls has opened first. Departures in this line count as notified all the same.
+            CallState::Pending => {
+                self.apply_departures(call.epoch, list);
+                self.cancel(at);
             }
-            // A whole list of a newer server is held already: this watch has another server's versions.
-            Progress::Up if call.epoch < self.versions.epoch() => self.abandon(at),
-            Progress::Up => {
+            // The current list is from a newer server, and the versions on this watch are of an older one.
+            CallState::Open if call.epoch < self.versions.epoch() => self.cancel(at),
+            CallState::Open => {
                 self.backoff.reset();
                 if let Some(list) = list {
                     self.versions.apply_watch_line(&list);
                     self.actions.push(Action::Apply(list));
                 }
-                self.heard(now, call.epoch);
-                if self.versions.overflows() {
-                    self.abandon(at);
+                self.line_received(now, call.epoch);
+                if self.versions.pending_limit_exceeded() {
+                    self.cancel(at);
                     self.watch_lost(now, EndReason::Failed);
                 }
             }
         }
     }
 
-    /// The answer to a call for a whole list.
+    /// Handles the answer to a call for a whole list.
     pub fn whole_list(&mut self, now: Duration, id: CallId, list: EndpointList) {
         let Some(at) = self.calls.iter().position(|call| call.id == id) else { return };
         let call = self.calls.swap_remove(at);
-        self.crowded &= call.epoch != self.target;
-        match self.versions.merge_whole_list(call.epoch, call.held, list) {
+        self.overloaded &= call.epoch != self.server;
+        match self.versions.merge_whole_list(call.epoch, call.version_at_start, list) {
             Some(list) => {
                 self.lease.whole_list_received(now, call.epoch);
                 self.whole_list_backoff.reset();
@@ -264,27 +265,27 @@
         }
     }
 
-    /// A list broke off, or takes long: its entries so far.
+    /// Handles the entries received so far of a list that was truncated or takes long.
     pub fn partial_list(&mut self, id: CallId, list: EndpointList) {
         let Some(call) = self.calls.iter().find(|call| call.id == id).copied() else { return };
-        self.take_departures(call.epoch, Some(list));
+        self.apply_departures(call.epoch, Some(list));
     }
 
-    /// A call failed, or a watch that was up ended.
-    pub fn call_ended(&mut self, now: Duration, id: CallId, ending: EndReason) {
+    /// Handles the failure of a call, or the end of an open watch.
+    pub fn call_ended(&mut self, now: Duration, id: CallId, reason: EndReason) {
         let Some(at) = self.calls.iter().position(|call| call.id == id) else { return };
         let call = self.calls.swap_remove(at);
-        match (call.kind, call.progress) {
-            (CallKind::WholeList, _) => self.whole_list_failed(now, &call, ending),
-            (CallKind::Watch { .. }, Progress::Up) => self.watch_lost(now, ending),
-            (CallKind::Watch { .. }, Progress::Waiting) if call.epoch == self.target => {
-                self.watch_call_failed(now, &call, ending);
+        match (call.kind, call.state) {
+            (CallKind::WholeList, _) => self.whole_list_failed(now, &call, reason),
+            (CallKind::Watch { .. }, CallState::Open) => self.watch_lost(now, reason),
+            (CallKind::Watch { .. }, CallState::Pending) if call.epoch == self.server => {
+                self.watch_call_failed(now, &call, reason);
             }
-            (CallKind::Watch { .. }, Progress::Waiting) => {}
+            (CallKind::Watch { .. }, CallState::Pending) => {}
         }
     }
 
-    /// When [`timer`](Self::timer) is to be called.
+    /// When [`timer`](Self::timer) has to be called next.
     pub fn next_timer(&self) -> Option<Duration> {
         let times = [self.next_watch, self.next_whole_list, self.second_call_at()];
         times.into_iter().flatten().min()
@@ -294,7 +295,7 @@
     pub fn timer(&mut self, now: Duration) {
         if self.next_watch.is_some_and(|at| at <= now) || self.second_call_at().is_some_and(|at| at <= now)
         {
-            self.call_watch(now);
+            self.start_watch_call(now);
         }
         if self.next_whole_list.is_some_and(|at| at <= now) {
             self.next_whole_list = None;
@@ -302,72 +303,73 @@
         }
     }
 
-    /// While the target brings nothing a second call begins beside the first, which an outage may have lost. Not behind
-    /// a refusal, nor behind a watch that discovery has ended itself: it is there, and each call takes a turn of its
-    /// queue.
+    /// When to start a second watch call while the first is pending, which an outage may have lost. None after a
+    /// refusal, or after discovery has ended the watch itself: it is available then, and each call takes a place in
+    /// its queue.
     fn second_call_at(&self) -> Option<Duration> {
-        let waiting = self.waiting_on_target();
-        let is_there = self.crowded || matches!(self.lease.state(), LeaseState::WatchEnded { .. });
-        let may_begin = (1..MAX_WATCH_CALLS).contains(&waiting) && !is_there && self.next_watch.is_none();
-        may_begin.then_some(self.last_watch_call + SECOND_CALL_AFTER)
+        let pending = self.pending_watch_calls();
+        let is_available = self.overloaded || matches!(self.lease.state(), LeaseState::WatchEnded { .. });
+        let may_start =
+            (1..MAX_WATCH_CALLS).contains(&pending) && !is_available && self.next_watch.is_none();
+        may_start.then_some(self.last_watch_call + SECOND_CALL_AFTER)
     }
 
-    fn waiting_on_target(&self) -> usize {
-        self.calls.iter().filter(|call| call.is_waiting_watch() && call.epoch == self.target).count()
+    fn pending_watch_calls(&self) -> usize {
+        self.calls.iter().filter(|call| call.is_pending_watch() && call.epoch == self.server).count()
     }
 
-    fn watch_in_force(&self) -> Option<&OutCall> {
-        self.calls.iter().find(|call| call.progress == Progress::Up)
+    fn open_watch(&self) -> Option<&ActiveCall> {
+        self.calls.iter().find(|call| call.state == CallState::Open)
     }
 
-    /// Whether a first line on this call makes it the watch in force.
-    fn opens(&self, call: &OutCall) -> bool {
-        match self.watch_in_force() {
-            Some(up) => call.epoch > up.epoch,
+    /// Whether the first line on a pending call makes it the open watch.
+    fn becomes_open_watch(&self, call: &ActiveCall) -> bool {
+        match self.open_watch() {
+            Some(open) => call.epoch > open.epoch,
             None => call.epoch >= self.versions.epoch(),
         }
     }
 
-    /// The watch of a call becomes the one in force; one on a server before it is left.
-    fn opened(&mut self, now: Duration, at: usize, list: Option<EndpointList>) {
+    /// Makes a pending call the open watch, and cancels the open watch on an earlier server.
+    fn watch_opened(&mut self, now: Duration, at: usize, list: Option<EndpointList>) {
         let call = self.calls[at];
-        if let Some(before) = self.watch_in_force().map(|up| up.id) {
-            self.actions.push(Action::Cancel(before));
-            self.calls.retain(|out| out.id != before);
+        if let Some(previous) = self.open_watch().map(|open| open.id) {
+            self.actions.push(Action::Cancel(previous));
+            self.calls.retain(|active| active.id != previous);
         }
-        for out in self.calls.iter_mut().filter(|out| out.id == call.id) {
-            out.progress = Progress::Up;
+        for active in self.calls.iter_mut().filter(|active| active.id == call.id) {
+            active.state = CallState::Open;
         }
         self.versions.watch_opened(call.epoch, list.as_ref());
         self.backoff.reset();
-        if call.epoch == self.target {
-            (self.crowded, self.next_watch, self.unsettled_since) = (false, None, None);
+        if call.epoch == self.server {
+            (self.overloaded, self.next_watch, self.server_change_pending_since) = (false, None, None);
         }
-        // Without a list: it works again, and the next failure is a first one.
+        // An empty line shows that discovery answers again, and the next failure counts as the first.
         self.actions.push(list.map_or(Action::Unchanged, Action::Apply));
-        self.heard(now, call.epoch);
+        self.line_received(now, call.epoch);
     }
 
-    /// The watch in force has brought a line. Where a whole list is still owed, it is asked for.
-    fn heard(&mut self, now: Duration, epoch: Epoch) {
-        let owed = self.versions.needs_whole_list();
-        self.lease.line_received(now, epoch, !owed);
-        self.next_whole_list = owed.then(|| self.next_whole_list.unwrap_or(now));
+    /// Records a line on the open watch, and schedules the call for the whole list if that is still missing.
+    fn line_received(&mut self, now: Duration, epoch: Epoch) {
+        let missing = self.versions.needs_whole_list();
+        self.lease.line_received(now, epoch, !missing);
+        self.next_whole_list = missing.then(|| self.next_whole_list.unwrap_or(now));
     }
 
-    fn take_departures(&mut self, epoch: Epoch, list: Option<EndpointList>) {
+    fn apply_departures(&mut self, epoch: Epoch, list: Option<EndpointList>) {
         let departures = list.and_then(|list| self.versions.departures(epoch, list));
         self.actions.extend(departures.map(Action::Apply));
     }
 
-    fn abandon(&mut self, at: usize) {
+    fn cancel(&mut self, at: usize) {
         let call = self.calls.swap_remove(at);
         self.actions.push(Action::Cancel(call.id));
     }
 
-    /// The watch in force has ended. A call to another server that is awaited already is kept.
-    fn watch_lost(&mut self, now: Duration, ending: EndReason) {
-        match ending {
+    /// Handles the end of the open watch. A pending watch call to the current server continues.
+    fn watch_lost(&mut self, now: Duration, reason: EndReason) {
+        match reason {
             EndReason::Silent => self.lease.watch_silent(),
             EndReason::Reset => self.lease.watch_reset(now),
             EndReason::Refused
@@ -377,99 +379,110 @@
             | EndReason::Failed => self.lease.watch_ended(now),
         }
         self.actions.push(Action::Report(Outcome::Failed));
-        if self.waiting_on_target() == 0 && self.next_watch.is_none() {
-            let draw = self.draw();
-            self.next_watch = Some(now + MAX_JITTER.mul_f64(draw));
+        if self.pending_watch_calls() == 0 && self.next_watch.is_none() {
+            let random = self.random_fraction();
+            self.next_watch = Some(now + MAX_JITTER.mul_f64(random));
         }
     }
 
-    fn watch_call_failed(&mut self, now: Duration, call: &OutCall, ending: EndReason) {
-        self.crowded |= ending == EndReason::Refused;
-        self.refused |= ending == EndReason::Refused;
-        let held = now.saturating_sub(call.began);
-        if ending == EndReason::Refused {
-            self.longest_refused = self.longest_refused.max(held);
+    fn watch_call_failed(&mut self, now: Duration, call: &ActiveCall, reason: EndReason) {
+        self.overloaded |= reason == EndReason::Refused;
+        self.any_refused |= reason == EndReason::Refused;
+        let held = now.saturating_sub(call.started_at);
+        if reason == EndReason::Refused {
+            self.longest_refused_call = self.longest_refused_call.max(held);
         }
-        if self.waiting_on_target() > 0 {
-            // The other call keeps its turn; what it brings decides, and the wait is that behind a refusal.
-            if !self.refused {
+        if self.pending_watch_calls() > 0 {
+            // The other call keeps its place in the queue, and its result decides. If it fails too, and either was
+            // refused, the wait is the one after a refusal.
+            if !self.any_refused {
                 self.actions.push(Action::Report(Outcome::Failed));
             }
             return;
         }
-        let refused = self.refused;
+        let refused = self.any_refused;
         self.actions.push(Action::Report(if refused { Outcome::Refused } else { Outcome::Failed }));
-        let (took, draw) = (now.saturating_sub(self.last_watch_call.max(call.began)), self.draw());
-        let wait = match ending {
-            _ if refused => self.backoff.after_refusal(self.lease.refusal_cause(), took, draw),
-            EndReason::LocalError => self.backoff.after_local_error(took, draw),
-            _ => self.backoff.after_failure(took, draw),
+        let (took, random) =
+            (now.saturating_sub(self.last_watch_call.max(call.started_at)), self.random_fraction());
+        let wait = match reason {
+            _ if refused => self.backoff.after_refusal(self.lease.refusal_cause(), took, random),
+            EndReason::LocalError => self.backoff.after_local_error(took, random),
+            _ => self.backoff.after_failure(took, random),
         };
         self.next_watch = Some(now + wait);
-        let (ending, held) =
-            if refused { (EndReason::Refused, self.longest_refused) } else { (ending, held) };
-        if let Some(reachability) = reachability_shown(ending, held) {
-            self.lease.call_failed(now, FailedCall { reachability, started_at: call.began });
+        let (reason, held) =
+            if refused { (EndReason::Refused, self.longest_refused_call) } else { (reason, held) };
+        if let Some(reachability) = reachability_shown(reason, held) {
+            self.lease.call_failed(now, FailedCall { reachability, started_at: call.started_at });
         }
     }
 
-    fn whole_list_failed(&mut self, now: Duration, call: &OutCall, ending: EndReason) {
-        let refused = ending == EndReason::Refused;
+    fn whole_list_failed(&mut self, now: Duration, call: &ActiveCall, reason: EndReason) {
+        let refused = reason == EndReason::Refused;
         self.actions.push(Action::Report(if refused { Outcome::Refused } else { Outcome::Failed }));
         if self.versions.needs_whole_list() && call.epoch == self.versions.epoch() {
             self.lease.whole_list_failed();
-            let (took, draw) = (now.saturating_sub(call.began), self.draw());
-            let wait = match ending {
+            let (took, random) = (now.saturating_sub(call.started_at), self.random_fraction());
+            let wait = match reason {
                 EndReason::Refused => {
-                    self.whole_list_backoff.after_refusal(RefusalCause::TooManyCallers, took, draw)
+                    self.whole_list_backoff.after_refusal(RefusalCause::TooManyCallers, took, random)
                 }
-                EndReason::LocalError => self.whole_list_backoff.after_local_error(took, draw),
-                _ => self.whole_list_backoff.after_failure(took, draw),
+                EndReason::LocalError => self.whole_list_backoff.after_local_error(took, random),
+                _ => self.whole_list_backoff.after_failure(took, random),
             };
             self.next_whole_list = Some(now + wait);
         }
     }
 
-    fn call_watch(&mut self, now: Duration) {
-        if self.waiting_on_target() == 0 {
-            (self.refused, self.longest_refused) = (false, Duration::ZERO);
+    fn start_watch_call(&mut self, now: Duration) {
+        if self.pending_watch_calls() == 0 {
+            (self.any_refused, self.longest_refused_call) = (false, Duration::ZERO);
         }
         self.next_watch = None;
-        self.unsettled_since = None;
+        self.server_change_pending_since = None;
         self.last_watch_call = now;
         self.lease.call_started(now);
-        let after = self.versions.request_after(self.target);
-        self.call(now, CallKind::Watch { after });
+        let after = self.versions.request_after(self.server);
+        self.start_call(now, CallKind::Watch { after });
     }
 
-    fn call(&mut self, now: Duration, kind: CallKind) {
-        self.make_place();
+    fn start_call(&mut self, now: Duration, kind: CallKind) {
+        self.enforce_call_limit();
         self.calls_made += 1;
-        let (id, epoch) = (CallId(self.calls_made), self.target);
-        let held = self.versions.version();
-        self.calls.push(OutCall { id, epoch, kind, began: now, progress: Progress::Waiting, held });
+        let (id, epoch) = (CallId(self.calls_made), self.server);
+        let version_at_start = self.versions.version();
+        self.calls.push(ActiveCall {
+            id,
+            epoch,
+            kind,
+            started_at: now,
+            state: CallState::Pending,
+            version_at_start,
+        });
         self.actions.push(Action::Call { id, epoch, kind });
     }
 
-    /// Where too many calls are out, the oldest one to a server that was left is given up.
-    fn make_place(&mut self) {
-        if self.calls.len() < MAX_CALLS_OUT {
+    /// If too many calls are active, cancels the first pending one: normally the oldest call, to a server that has been
+    /// replaced.
+    fn enforce_call_limit(&mut self) {
+        if self.calls.len() < MAX_ACTIVE_CALLS {
             return;
         }
-        let oldest = self.calls.iter().position(|call| call.progress == Progress::Waiting);
+        let oldest = self.calls.iter().position(|call| call.state == CallState::Pending);
         if let Some(oldest) = oldest {
-            self.abandon(oldest);
+            self.cancel(oldest);
         }
     }
 
-    fn draw(&mut self) -> f64 {
-        f64::from(self.draws.next_u32()) / f64::from(u32::MAX)
+    fn random_fraction(&mut self) -> f64 {
+        f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
 }
 
-/// What a call that ended so after so long says of whether discovery can be reached; nothing where it was not made.
-fn reachability_shown(ending: EndReason, took: Duration) -> Option<Reachability> {
-    match ending {
+/// What a call that ended for this reason after this time shows about whether discovery can be reached; `None` if the
+/// call was not made.
+fn reachability_shown(reason: EndReason, took: Duration) -> Option<Reachability> {
+    match reason {
         EndReason::LocalError => None,
         EndReason::NotConnected => Some(Reachability::Unreachable),
         EndReason::NoResponse => Some(Reachability::Silent),
--- a/crates/discovery-client/src/lease.rs
+++ b/crates/discovery-client/src/lease.rs
@@ -1,4 +1,4 @@
-//! The bound on the use of the list that is held.
+//! The lease on the current list: until when it may be used.
 
 use crate::Epoch;
 use crate::client::{LeaseSettings, Mode};
@@ -9,185 +9,199 @@
 use curlewhub_balance::RefusalCause;
 use std::time::Duration;
 
-/// So many calls in a row that a server just named holds and refuses are waited out.
-const REFUSALS_BORNE: u32 = 1;
+/// How many calls a newly named server may hold and then refuse before that counts as a sign of an outage.
+const TOLERATED_REFUSALS: u32 = 1;
 
-/// What stands between this process and the newest list. Each state but the first and the last has a deadline for the
-/// use of the list.
+/// Whether changes of the list reach this process, and why not. Every state except the first and the last limits how
+/// long the list may be used. Log lines show the names of the variants and their fields.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LeaseState {
-    /// A watch is up: what changes is notified as it is written.
+    /// A watch is open, and changes are notified as they are written.
     Watching,
-    /// No watch is up, since the start or since the one before was left for another server.
+    /// No watch is open, since the start or since the last one was cancelled to switch to another server.
     Unwatched {
-        /// Since when.
+        /// The start of this state.
         since: Duration,
     },
-    /// Discovery ended the watch, so it is there: what it had to tell then may be notified soon.
+    /// Discovery ended the watch, so it is available: a change that it had then may soon count as notified.
     WatchEnded {
-        /// Its end.
+        /// The end of the watch.
         at: Duration,
     },
-    /// The watch was reset: its process, or what is between, is gone.
+    /// The connection of the watch was reset: the discovery process, or a host on the path to it, has failed.
     WatchReset {
-        /// When that was seen.
+        /// When the reset was noticed.
         at: Duration,
-        /// Its last line.
+        /// When the last line was received.
         last_line: Duration,
     },
-    /// The watch fell silent some time after its last line.
+    /// Nothing was received on the watch for too long after its last line.
     WatchSilent {
-        /// Its last line.
+        /// When the last line was received.
         last_line: Duration,
     },
-    /// Discovery could not be reached, so that it notified nothing.
+    /// Discovery could not be reached, so it has notified nothing.
     Unreachable {
-        /// Since when: the end of a watch, or the first call that showed it.
+        /// The start of the outage: the end of a watch, or the first call that showed it.
         since: Duration,
-        /// The beginning of the last call that showed it.
+        /// The start of the last call that showed it.
         last_call: Duration,
     },
-    /// Discovery refuses calls at once, so it is there again.
+    /// Discovery refuses calls at once: it is available again, and overloaded.
     Crowded {
-        /// From when on a change that it had meanwhile may count as notified.
+        /// When a change made in the meantime may first count as notified.
         notified_at: Duration,
     },
-    /// Nothing is followed: the list that is held is the only one.
+    /// The list is not followed, and the current one stays in use.
     NotFollowed,
 }
 
-/// What a call that failed says of whether discovery can be reached.
+/// What a failed call shows about whether discovery can be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// No connection was established: it could not be reached when the call began.
+    /// No connection was established: discovery could not be reached when the call started.
     Unreachable,
-    /// Nothing came on the connection: it hangs, or is cut off.
+    /// Nothing was received on the connection: discovery hangs, or is cut off.
     Silent,
-    /// The call was held and then refused, as in an outage and as before too many callers.
+    /// The call was held and then refused, as happens both in an outage and when discovery has too many callers.
     Ambiguous,
-    /// It answered at once, or with what is no list: it can be reached.
+    /// Discovery refused the call at once, or its answer was not a list: it can be reached.
     Reachable,
 }
 
-/// A call for a watch that failed, after which no other is out.
+/// A failed watch call, after which no other watch call to the same server is pending.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedCall {
-    /// What it says of discovery.
+    /// What it shows about discovery.
     pub reachability: Reachability,
-    /// When it began.
+    /// When it started.
     pub started_at: Duration,
 }
 
-/// From when on the list that is held must not be used for anything new, because a change that this process has not
-/// seen may count as notified. Nothing but a newer list, or word that there is none, ends that.
+/// Bounds the use of the current list. After the lease has expired, the list must not be used for new requests,
+/// because a change that this process has not received may count as notified. Only a newer list, or the confirmation
+/// that there is none, renews an expired lease.
 #[derive(Debug)]
 pub struct Lease {
     mode: Mode,
     settings: LeaseSettings,
     state: LeaseState,
-    /// When discovery last sent anything.
+    /// When anything was last received from discovery.
     confirmed_at: Duration,
-    /// The first move whose server has not been heard yet, and the newest epoch since.
-    moved: Option<(Epoch, Duration)>,
+    /// The newest server, as long as it has not answered, and the time of the first server change since the last
+    /// answer.
+    server_change: Option<(Epoch, Duration)>,
     last_call: Duration,
-    /// A watch has been up since the start.
-    watched: bool,
-    /// Calls that were held and refused since discovery was heard or moved.
-    refusals: u32,
+    /// Whether a watch was open at any time since the start.
+    has_watched: bool,
+    /// The number of calls held and then refused since the last line or server change.
+    held_refusals: u32,
 }
 
 impl Lease {
-    /// A lease on the list known at the start.
+    /// Creates the lease on the list that is known at the start.
     pub fn new(mode: Mode, settings: LeaseSettings, now: Duration) -> Self {
         let state = LeaseState::Unwatched { since: now };
-        let (moved, watched, refusals) = Default::default();
-        Lease { mode, settings, state, confirmed_at: now, moved, last_call: now, watched, refusals }
+        let (server_change, has_watched, held_refusals) = Default::default();
+        Lease {
+            mode,
+            settings,
+            state,
+            confirmed_at: now,
+            server_change,
+            last_call: now,
+            has_watched,
+            held_refusals,
+        }
     }
 
-    /// What stands between this process and the newest list.
+    /// Returns whether changes of the list reach this process, and why not.
     pub fn state(&self) -> LeaseState {
         self.state
     }
 
-    /// When discovery last sent anything, or the start.
+    /// When anything was last received from discovery; the start if nothing was.
     pub fn confirmed_at(&self) -> Duration {
         self.confirmed_at
     }
 
-    /// A call for a watch began.
+    /// Records the start of a watch call.
     pub fn call_started(&mut self, now: Duration) {
         self.last_call = now;
     }
 
-    /// The watch in force opened or brought a line; it follows the server of this epoch, whose list is held completely
-    /// or a whole one is still owed.
+    /// Records a line on the open watch, including the one that opens it. `epoch` is the server that it watches, and
+    /// `complete` is whether its list is known completely, or the whole list is still missing.
     pub fn line_received(&mut self, now: Duration, epoch: Epoch, complete: bool) {
-        (self.state, self.watched, self.refusals) = (LeaseState::Watching, true, 0);
+        (self.state, self.has_watched, self.held_refusals) = (LeaseState::Watching, true, 0);
         self.confirmed_at = now;
-        self.moved = self.moved.filter(|(newest, _)| *newest > epoch || !complete);
+        self.server_change = self.server_change.filter(|(newest, _)| *newest > epoch || !complete);
     }
 
-    /// A whole list of the server of this epoch was received, while no watch is up.
+    /// Records a whole list from the server `epoch`. Without an open watch, the time without a watch starts again.
     pub fn whole_list_received(&mut self, now: Duration, epoch: Epoch) {
         self.confirmed_at = now;
-        self.moved = self.moved.filter(|(newest, _)| *newest > epoch);
+        self.server_change = self.server_change.filter(|(newest, _)| *newest > epoch);
         if self.state != LeaseState::Watching {
             self.state = LeaseState::Unwatched { since: now };
         }
     }
 
-    /// A whole list that is owed beside a watch was not brought. What has changed at the server was: its watch began with it.
+    /// Records that the call for a missing whole list failed. With an open watch, the deadline of the server change no
+    /// longer applies: the watch began with the changes at that server.
     pub fn whole_list_failed(&mut self) {
         if self.state == LeaseState::Watching {
-            self.moved = None;
+            self.server_change = None;
         }
     }
 
-    /// The server of this epoch is to be followed from now on.
+    /// Records the switch to the server `epoch`.
     pub fn server_changed(&mut self, now: Duration, epoch: Epoch) {
-        let since = self.moved.map_or(now, |(_, since)| since);
-        self.moved = Some((epoch, since));
-        self.refusals = 0;
+        let since = self.server_change.map_or(now, |(_, since)| since);
+        self.server_change = Some((epoch, since));
+        self.held_refusals = 0;
     }
 
-    /// The watch in force was left.
+    /// Records that the open watch was cancelled.
     pub fn watch_cancelled(&mut self, now: Duration) {
         self.state = LeaseState::Unwatched { since: now };
     }
 
-    /// The watch in force ended, or a line of it could not be read.
+    /// Records that the open watch ended, or that one of its lines could not be read.
     pub fn watch_ended(&mut self, now: Duration) {
         self.state = LeaseState::WatchEnded { at: now };
     }
 
-    /// The watch in force was reset.
+    /// Records that the connection of the open watch was reset.
     pub fn watch_reset(&mut self, now: Duration) {
         self.state = LeaseState::WatchReset { at: now, last_line: self.confirmed_at };
     }
 
-    /// The watch in force counts as dead.
+    /// Records that the open watch timed out.
     pub fn watch_silent(&mut self) {
         self.state = LeaseState::WatchSilent { last_line: self.confirmed_at };
     }
 
-    /// Nothing is followed.
+    /// Records that the list is no longer followed.
     pub fn unfollowed(&mut self) {
-        (self.state, self.moved) = (LeaseState::NotFollowed, None);
+        (self.state, self.server_change) = (LeaseState::NotFollowed, None);
     }
 
-    /// A call failed. What may have been notified before stays notified.
+    /// Records a failed watch call. If a change may already count as notified, the lease does not change.
     pub fn call_failed(&mut self, now: Duration, call: FailedCall) {
         if self.may_have_been_notified(now) {
             return;
         }
-        self.refusals += u32::from(call.reachability == Reachability::Ambiguous);
+        self.held_refusals += u32::from(call.reachability == Reachability::Ambiguous);
         let since = match call.reachability {
             Reachability::Unreachable => Some(call.started_at),
-            Reachability::Silent if !self.was_there() => self.outage_since(now).or(Some(self.confirmed_at)),
-            Reachability::Ambiguous if !self.was_there() => self.outage_since(now),
+            Reachability::Silent if !self.was_available() => {
+                self.outage_start(now).or(Some(self.confirmed_at))
+            }
+            Reachability::Ambiguous if !self.was_available() => self.outage_start(now),
             Reachability::Silent | Reachability::Ambiguous => None,
             Reachability::Reachable => {
-                if let Some(notified_at) = self.notified_by_state().filter(|_| !self.was_there()) {
+                if let Some(notified_at) = self.notified_by_state().filter(|_| !self.was_available()) {
                     self.state = LeaseState::Crowded { notified_at };
                 }
                 None
@@ -198,11 +212,12 @@
         }
     }
 
-    /// Since when an outage may last of which calls that are held and refused would be a sign.
-    fn outage_since(&self, now: Duration) -> Option<Duration> {
+    /// The start of the outage that held and refused calls would be a sign of; `None` if the state rules one out or
+    /// does not tell.
+    fn outage_start(&self, now: Duration) -> Option<Duration> {
         match self.state {
             LeaseState::Unreachable { since, .. } => Some(since),
-            LeaseState::Unwatched { .. } => Some(self.moved.map_or(now, |(_, since)| since)),
+            LeaseState::Unwatched { .. } => Some(self.server_change.map_or(now, |(_, since)| since)),
             LeaseState::WatchReset { at, .. } => Some(at),
             LeaseState::Watching
             | LeaseState::WatchEnded { .. }
@@ -212,22 +227,23 @@
         }
     }
 
-    /// Why discovery refuses calls, as far as the state tells.
+    /// Why discovery refuses calls, as far as the state shows.
     pub fn refusal_cause(&self) -> RefusalCause {
         match self.state {
             LeaseState::Unwatched { .. } => RefusalCause::Unknown,
-            _ if self.was_there() => RefusalCause::TooManyCallers,
+            _ if self.was_available() => RefusalCause::TooManyCallers,
             _ => RefusalCause::Unknown,
         }
     }
 
-    /// Whether discovery was there when the watch ended, or has been seen since.
-    fn was_there(&self) -> bool {
+    /// Whether discovery was available when the watch ended, or has been since.
+    fn was_available(&self) -> bool {
         match self.state {
             LeaseState::Watching | LeaseState::WatchEnded { .. } | LeaseState::Crowded { .. } => true,
-            // A server that was just named is taken to be there, until it has refused more than one call.
+            // A newly named server is assumed to be available until it has held and refused more than one call.
             LeaseState::Unwatched { .. } => {
-                self.watched && (self.moved.is_none() || self.refusals <= REFUSALS_BORNE)
+                self.has_watched
+                    && (self.server_change.is_none() || self.held_refusals <= TOLERATED_REFUSALS)
             }
             LeaseState::WatchReset { .. }
             | LeaseState::WatchSilent { .. }
@@ -236,58 +252,66 @@
         }
     }
 
-    /// Whether a change may count as notified that discovery had while it could be reached.
+    /// Whether a change that discovery had while it was available may already count as notified.
     fn may_have_been_notified(&self, now: Duration) -> bool {
-        let asked_while_there = self.mode == Mode::Ask && self.was_there();
-        // Discovery saw the end of the watch a little earlier than this process.
-        asked_while_there && self.notified_at().is_some_and(|at| at <= now + LEASE_SLACK)
+        let asks_while_available = self.mode == Mode::Ask && self.was_available();
+        // Discovery saw the end of the watch slightly earlier than this process.
+        asks_while_available && self.notified_at().is_some_and(|at| at <= now + LEASE_SLACK)
     }
 
-    /// From when on nothing new may begin by this list; none while a watch is up, or nothing is followed.
+    /// When the lease expires, so that the list must not be used for new requests. None while a watch is open, unless
+    /// a new server's list is still missing, or while the list is not followed.
     pub fn expires_at(&self) -> Option<Duration> {
         let allowance = self.settings.drain_grace.saturating_sub(STALL_ALLOWANCE + LEASE_SLACK);
         self.notified_at().map(|notified_at| notified_at + allowance)
     }
 
-    /// From when on an unseen change may count as notified.
+    /// When a change that was not received may first count as notified.
     fn notified_at(&self) -> Option<Duration> {
-        let by_move = self.moved.map(|(_, since)| since + NOTIFIED_AFTER_SERVER_CHANGE);
-        match (self.state, by_move) {
-            // What could not be reached since the move could not notify anything of the new server's either.
-            (LeaseState::Unreachable { last_call, .. }, Some(_)) if self.moved_before(last_call) => {
+        let by_server_change = self.server_change.map(|(_, since)| since + NOTIFIED_AFTER_SERVER_CHANGE);
+        match (self.state, by_server_change) {
+            // Discovery that could not be reached since the server change cannot have notified a change of the new
+            // server.
+            (LeaseState::Unreachable { last_call, .. }, Some(_))
+                if self.server_changed_before(last_call) =>
+            {
                 self.notified_by_state()
             }
-            _ => self.notified_by_state().into_iter().chain(by_move).min(),
+            _ => self.notified_by_state().into_iter().chain(by_server_change).min(),
         }
     }
 
-    fn moved_before(&self, at: Duration) -> bool {
-        self.moved.is_some_and(|(_, since)| since <= at)
+    fn server_changed_before(&self, at: Duration) -> bool {
+        self.server_change.is_some_and(|(_, since)| since <= at)
     }
 
     fn notified_by_state(&self) -> Option<Duration> {
-        let at_the_latest = self.confirmed_at + NOTIFIED_WITHIN;
+        let latest = self.confirmed_at + NOTIFIED_WITHIN;
         let by_watch = match self.state {
             LeaseState::Watching | LeaseState::NotFollowed => return None,
             LeaseState::Unreachable { since, last_call } => {
-                return Some(back_at(since, last_call) + NOTIFIED_WITHIN);
+                return Some(earliest_recovery(since, last_call) + NOTIFIED_WITHIN);
             }
             LeaseState::Crowded { notified_at } => return Some(notified_at),
-            // The move's own bound holds where lists are pushed.
-            LeaseState::Unwatched { .. } if self.mode == Mode::Push && self.moved.is_some() => return None,
-            LeaseState::Unwatched { since } => self.unwatched_since(since),
-            LeaseState::WatchEnded { at } => self.unwatched_since(at).min(at + NOTIFIED_AFTER_WATCH_END),
+            // In push mode the deadline of the server change applies.
+            LeaseState::Unwatched { .. } if self.mode == Mode::Push && self.server_change.is_some() => {
+                return None;
+            }
+            LeaseState::Unwatched { since } => self.notified_without_watch(since),
+            LeaseState::WatchEnded { at } => {
+                self.notified_without_watch(at).min(at + NOTIFIED_AFTER_WATCH_END)
+            }
             LeaseState::WatchReset { at, last_line } => {
-                self.unwatched_since(at).min(last_line + NOTIFIED_WITHIN)
+                self.notified_without_watch(at).min(last_line + NOTIFIED_WITHIN)
             }
             LeaseState::WatchSilent { last_line } => last_line + NOTIFIED_WITHIN,
         };
-        Some(by_watch.min(at_the_latest))
+        Some(by_watch.min(latest))
     }
 
-    /// Without a watch: where lists are pushed, what discovery has counts at once; where it is asked, the settings' time
-    /// from the last call.
-    fn unwatched_since(&self, since: Duration) -> Duration {
+    /// When a change may count as notified without a watch: in push mode at once, in ask mode the configured time
+    /// after the last call.
+    fn notified_without_watch(&self, since: Duration) -> Duration {
         match self.mode {
             Mode::Push => since,
             Mode::Ask => self.last_call.max(since) + self.settings.ask_within,
@@ -295,8 +319,8 @@
     }
 }
 
-/// The earliest time at which a discovery may have come back that could not be reached. Signs of an outage that last for
-/// longer than one are as likely those of too many callers.
-fn back_at(since: Duration, last_call: Duration) -> Duration {
+/// The earliest time at which discovery may have recovered from an outage. Signs of an outage that last longer than
+/// [`LONGEST_OUTAGE`] are as likely to be signs of too many callers.
+fn earliest_recovery(since: Duration, last_call: Duration) -> Duration {
     last_call.min(since + LONGEST_OUTAGE)
 }
--- a/crates/discovery-client/src/lib.rs
+++ b/crates/discovery-client/src/lib.rs
@@ -1,12 +1,14 @@
-//! Follows the endpoint list of a discovery service: decides when it is called, which of its answers count, and for how
-//! long the list that is held may be used. Sans I/O: what happened and the time go in, actions come out; equal seeds and
-//! events give equal actions. Times are [`Duration`](std::time::Duration)s on a monotonic clock of the caller.
+//! Keeps the endpoint list of a discovery service up to date. Decides when to call the service, which of its answers
+//! to use, and how long the current list may be used. Sans I/O: events and the time go in, and actions come out.
+//! Equal seeds and events give equal actions. Times are [`Duration`](std::time::Duration)s on a monotonic clock of
+//! the caller.
 //!
-//! - [`Client`] owns all of it: calls that are out, the watch, the next call.
-//! - [`Lease`] is the bound on the list's use: when a change that this process has not seen counts as notified.
-//! - [`Versions`] puts lists and changes of one server, or of two after a move, into one order.
-//! - [`WatchState`] has the one deadline of each state of a watch; [`timing`] has the times that all of this uses.
-//! - [`Backoff`] has the waits between calls that fail.
+//! - [`Client`] is the state machine: it tracks active calls and the watch, and schedules the next call.
+//! - [`Lease`] bounds the use of the list: it expires when a change that this process has not received may count as
+//!   notified.
+//! - [`Versions`] orders lists and changes from one server, or from two servers after a switch.
+//! - [`WatchState`] gives the deadline of each state of a watch; [`timing`] has the durations used here.
+//! - [`Backoff`] computes the waits between failed calls.
 
 mod backoff;
 mod calls;
--- a/crates/discovery-client/src/watch_state.rs
+++ b/crates/discovery-client/src/watch_state.rs
@@ -1,43 +1,44 @@
-//! The state of a watch, with one deadline for each.
+//! The states of a watch, each with one deadline.
 
 use crate::timing::{LINE_TIMEOUT, WATCH_SILENCE_TIMEOUT};
 use std::time::Duration;
 
-/// Where a watch is. Each state has one deadline, and only what it waits for ends it: a byte begins a line, a whole line
-/// ends it.
+/// The state of a watch. Each state has one deadline, and ends only with what it waits for: a byte starts a line, and
+/// the end of the line ends it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WatchState {
-    /// Its first line is part of the call.
+    /// The first line has not been received; it belongs to the call.
     Opening {
-        /// When the call ends.
+        /// When the call times out.
         deadline: Duration,
     },
-    /// Between lines, since then.
+    /// No line has been started since the last one.
     BetweenLines {
-        /// Since when.
+        /// When the last line ended.
         since: Duration,
     },
-    /// Within a line, since then.
+    /// A line has been received in part.
     WithinLine {
-        /// Since when.
+        /// When the line started.
         since: Duration,
     },
 }
 
 impl WatchState {
-    /// The state after a read: whether a line ended in it, and whether it left a part of the next one.
+    /// Returns the state after a read. `line_ended` is whether a line ended in it, and `part_left` whether a part of
+    /// the next line was received.
     pub fn after_read(self, now: Duration, line_ended: bool, part_left: bool) -> Self {
         match (self, line_ended, part_left) {
             (WatchState::Opening { .. }, false, _) => self,
             (WatchState::WithinLine { .. }, false, true) => self,
             (_, _, true) => WatchState::WithinLine { since: now },
             (_, true, false) => WatchState::BetweenLines { since: now },
-            // A frame without a byte says nothing.
+            // An empty frame changes nothing.
             (_, false, false) => self,
         }
     }
 
-    /// When it counts as dead.
+    /// When the watch counts as dead.
     pub fn deadline(self) -> Duration {
         match self {
             WatchState::Opening { deadline } => deadline,
--- a/crates/discovery-client/tests/lease.rs
+++ b/crates/discovery-client/tests/lease.rs
@@ -1,4 +1,4 @@
-//! For how long the list that is held may be used, by each way in which its watch can end.
+//! How long the current list may be used, for each way in which its watch can end.
 
 use curlewhub_config::list::EndpointList;
 use curlewhub_discovery_client::timing::{LONGEST_OUTAGE, NOTIFIED_WITHIN};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 const GRACE: Duration = Duration::from_millis(250);
-/// What of the grace is left when the process may be held up for 0.15 s, less the slack of clocks.
+/// What is left of the drain grace after 0.15 s for a stalled process and the tolerance for clocks.
 const ALLOWANCE: Duration = Duration::from_millis(50);
 
 fn rules() -> LeaseSettings {
@@ -27,32 +27,32 @@
     EndpointList { rev, is_complete: true, targets: Vec::new() }
 }
 
-/// Numbers and kinds of the calls that are begun.
+/// Returns the numbers and kinds of the calls that were started.
 fn calls(client: &mut Client) -> Vec<(CallId, CallKind)> {
-    let begun = client.take_actions().into_iter().filter_map(|action| match action {
+    let started = client.take_actions().into_iter().filter_map(|action| match action {
         Action::Call { id, kind, .. } => Some((id, kind)),
         _ => None,
     });
-    begun.collect()
+    started.collect()
 }
 
 fn one_call(client: &mut Client) -> CallId {
-    let begun = calls(client);
-    assert_eq!(begun.len(), 1, "{begun:?}");
-    begun[0].0
+    let started = calls(client);
+    assert_eq!(started.len(), 1, "{started:?}");
+    started[0].0
 }
 
-/// A client whose watch is up since one second.
+/// Returns a client whose watch opened at one second.
 fn watching(mode: Mode) -> (Client, CallId) {
     let mut client = Client::new(mode, rules(), 7, Duration::ZERO);
     client.follow(Duration::ZERO);
     let watch = one_call(&mut client);
     client.watch_line(seconds(1.0), watch, Some(changes(3)));
-    assert_eq!(client.lease().expires_at(), None, "{mode:?}: what changes is notified as it is written");
+    assert_eq!(client.lease().expires_at(), None, "{mode:?}: changes are notified as they are written");
     (client, watch)
 }
 
-/// The call that is made next, and when.
+/// Makes the next call that is due, and returns its time and number.
 fn next_call(client: &mut Client) -> (Duration, CallId) {
     client.take_actions();
     let at = client.next_timer().expect("a call is due");
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn behind_a_watch_that_discovery_ended_the_list_holds_for_two_seconds_or_where_it_is_pushed_not_at_all() {
+fn after_discovery_ends_the_watch_the_lease_expires_in_two_seconds_or_at_once_in_push_mode() {
     for (mode, notified_after) in [(Mode::Ask, 2.0), (Mode::Push, 0.0)] {
         let (mut client, watch) = watching(mode);
         client.call_ended(seconds(5.0), watch, EndReason::Failed);
@@ -70,21 +70,21 @@
         let (_, call) = next_call(&mut client);
         assert_eq!(client.lease().expires_at(), Some(expires), "{mode:?}: the call alone changes nothing");
         client.watch_line(seconds(9.0), call, Some(changes(4)));
-        assert_eq!(client.lease().expires_at(), None, "{mode:?}: it was heard again");
+        assert_eq!(client.lease().expires_at(), None, "{mode:?}: discovery has answered again");
     }
 }
 
 #[test]
-fn while_no_connection_is_established_the_list_serves_for_six_seconds_from_each_call() {
+fn while_connects_fail_the_lease_lasts_six_seconds_from_each_call() {
     for mode in [Mode::Ask, Mode::Push] {
-        for watch_ends in [EndReason::Failed, EndReason::Reset, EndReason::Silent] {
+        for end_reason in [EndReason::Failed, EndReason::Reset, EndReason::Silent] {
             let (mut client, watch) = watching(mode);
-            client.call_ended(seconds(5.0), watch, watch_ends);
+            client.call_ended(seconds(5.0), watch, end_reason);
             for _ in 0..5 {
                 let (at, call) = next_call(&mut client);
                 client.call_ended(at + seconds(0.5), call, EndReason::NotConnected);
                 let bound = at + NOTIFIED_WITHIN + ALLOWANCE;
-                assert_eq!(client.lease().expires_at(), Some(bound), "{mode:?}, {watch_ends:?}");
+                assert_eq!(client.lease().expires_at(), Some(bound), "{mode:?}, {end_reason:?}");
             }
             let (at, call) = next_call(&mut client);
             client.watch_line(at, call, Some(changes(4)));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn calls_that_are_held_or_bring_nothing_behind_a_reset_are_taken_for_an_outage() {
+fn held_or_unanswered_calls_after_a_reset_count_as_an_outage() {
     for mode in [Mode::Ask, Mode::Push] {
         for (ending, took) in [(EndReason::Refused, 2.0), (EndReason::NoResponse, 2.5)] {
             let (mut client, watch) = watching(mode);
@@ -119,9 +119,10 @@
     }
 }
 
-/// Guards against an outage that is not seen where the refusal of a held call takes the one beside it along at once.
+/// Guards against a missed outage: when discovery refuses a held call, it may refuse a newer call at the same moment,
+/// which then looks like an immediate refusal.
 #[test]
-fn a_call_that_is_refused_along_with_a_held_one_beside_it_counts_as_held() {
+fn a_call_refused_together_with_a_held_call_counts_as_held() {
     let (mut client, watch) = watching(Mode::Ask);
     client.watch_line(seconds(5.0), watch, None);
     client.call_ended(seconds(5.0), watch, EndReason::Reset);
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn a_refusal_at_once_behind_an_outage_counts_its_end_from_the_call_before() {
+fn an_immediate_refusal_after_an_outage_dates_its_end_to_the_call_before() {
     let (mut client, watch) = watching(Mode::Ask);
     client.watch_line(seconds(5.0), watch, None);
     client.call_ended(seconds(5.0), watch, EndReason::Reset);
@@ -143,14 +144,14 @@
     client.call_ended(at + seconds(0.01), call, EndReason::Refused);
     let bound = held + NOTIFIED_WITHIN + ALLOWANCE;
     assert_eq!(client.lease().expires_at(), Some(bound));
-    // Held ones say no more from then on.
+    // Held calls show nothing more from then on.
     let (at, call) = next_call(&mut client);
     client.call_ended(at + seconds(2.0), call, EndReason::Refused);
     assert_eq!(client.lease().expires_at(), Some(bound));
 }
 
 #[test]
-fn faults_of_this_machine_say_nothing_of_discovery() {
+fn local_errors_do_not_change_the_lease() {
     let (mut client, watch) = watching(Mode::Ask);
     client.call_ended(seconds(5.0), watch, EndReason::Failed);
     let bound = client.lease().expires_at();
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn a_watch_that_is_reset_or_falls_silent_bounds_the_list_from_its_last_line_on() {
+fn after_a_reset_or_a_silent_watch_the_lease_counts_from_the_last_line() {
     for ending in [EndReason::Reset, EndReason::Silent] {
         let (mut client, watch) = watching(Mode::Ask);
         client.watch_line(seconds(4.0), watch, None);
@@ -172,20 +173,20 @@
 }
 
 #[test]
-fn settings_that_want_a_shorter_time_without_a_watch_are_kept() {
+fn a_shorter_ask_within_setting_shortens_the_lease() {
     let rules = LeaseSettings { ask_within: seconds(0.8), ..rules() };
     let mut client = Client::new(Mode::Ask, rules, 7, Duration::ZERO);
     client.follow(Duration::ZERO);
     let watch = one_call(&mut client);
     client.watch_line(seconds(1.0), watch, Some(changes(3)));
     client.call_ended(seconds(5.0), watch, EndReason::Failed);
-    assert_eq!(client.lease().expires_at(), Some(seconds(5.8) + ALLOWANCE), "from the watch's end");
+    assert_eq!(client.lease().expires_at(), Some(seconds(5.8) + ALLOWANCE), "from the end of the watch");
     let (at, _) = next_call(&mut client);
     assert_eq!(client.lease().expires_at(), Some(at + seconds(0.8) + ALLOWANCE), "from the last call");
 }
 
 #[test]
-fn after_a_move_the_new_server_s_list_is_due_within_four_seconds_of_the_first_configuration() {
+fn after_a_server_change_the_lease_expires_four_seconds_after_the_first_configuration() {
     for mode in [Mode::Ask, Mode::Push] {
         let (mut client, watch) = watching(mode);
         client.watch_line(seconds(5.0), watch, None);
@@ -195,19 +196,23 @@
         assert_eq!(client.lease().expires_at(), Some(bound + ALLOWANCE), "{mode:?}");
         client.server_changed(seconds(5.3));
         client.server_changed(seconds(5.6));
-        assert_eq!(client.lease().expires_at(), Some(bound + ALLOWANCE), "{mode:?}: the first one counts");
-        assert_eq!(calls(&mut client).len(), 0, "{mode:?}: more may come");
-        // What the server between says is newer than the list that is held.
+        assert_eq!(
+            client.lease().expires_at(),
+            Some(bound + ALLOWANCE),
+            "{mode:?}: the first configuration counts"
+        );
+        assert_eq!(calls(&mut client).len(), 0, "{mode:?}: more configurations may follow");
+        // The list of the server in between is newer than the current list.
         client.watch_line(seconds(5.9), first, Some(whole(1)));
         let (at, last) = next_call(&mut client);
-        assert_eq!(at, seconds(6.1), "{mode:?}: half a second behind the last one");
+        assert_eq!(at, seconds(6.1), "{mode:?}: half a second after the last configuration");
         client.watch_line(seconds(6.5), last, Some(whole(1)));
         assert_eq!(client.lease().expires_at(), None, "{mode:?}");
     }
 }
 
 #[test]
-fn however_many_configurations_come_a_server_is_called_within_a_second() {
+fn repeated_server_changes_delay_the_call_by_a_second_at_most() {
     let (mut client, _) = watching(Mode::Ask);
     client.server_changed(seconds(5.0));
     one_call(&mut client);
@@ -225,35 +230,39 @@
 }
 
 #[test]
-fn a_new_server_s_watch_that_begins_with_changes_leaves_its_whole_list_owed() {
+fn a_new_server_s_watch_that_begins_with_changes_still_needs_the_whole_list() {
     let (mut client, _) = watching(Mode::Ask);
     client.server_changed(seconds(5.0));
     let watch = one_call(&mut client);
-    // Nothing is held of it: an empty line says nothing.
+    // None of its versions is known, so an empty line confirms nothing.
     client.watch_line(seconds(5.1), watch, None);
     assert!(client.lease().expires_at().is_some());
     client.watch_line(seconds(5.2), watch, Some(changes(9)));
-    assert!(client.lease().expires_at().is_some(), "what it leaves out is not known yet");
+    assert!(client.lease().expires_at().is_some(), "the rest of the list is not known yet");
     client.take_actions();
     client.timer(client.next_timer().expect("the whole list is due"));
-    let begun = calls(&mut client);
-    assert!(matches!(begun[..], [(_, CallKind::WholeList)]), "{begun:?}");
-    client.whole_list(seconds(5.5), begun[0].0, whole(9));
+    let started = calls(&mut client);
+    assert!(matches!(started[..], [(_, CallKind::WholeList)]), "{started:?}");
+    client.whole_list(seconds(5.5), started[0].0, whole(9));
     assert_eq!(client.lease().expires_at(), None);
     assert_eq!(client.version(), 9);
 }
 
-/// Discovery has ended the watch itself, so it is there, and refusals say that it has too many callers.
+/// Discovery has ended the watch itself, so it is available, and refusals mean that it has too many callers.
 #[test]
-fn refusals_behind_a_watch_that_discovery_ended_are_waited_out() {
+fn refusals_after_discovery_ends_the_watch_do_not_change_the_lease() {
     let (mut client, watch) = watching(Mode::Ask);
     client.call_ended(seconds(5.0), watch, EndReason::Failed);
     let bound = client.lease().expires_at();
     for took in [0.1, 2.0, 0.1, 2.0, 2.0, 3.0] {
         let (at, call) = next_call(&mut client);
         client.call_ended(at + seconds(took), call, EndReason::Refused);
-        client.call_ended(at + seconds(took), call, EndReason::Refused); // a call ends once
-        assert_eq!(client.lease().expires_at(), bound, "what may have been notified stays so");
+        client.call_ended(at + seconds(took), call, EndReason::Refused); // the second end is ignored
+        assert_eq!(
+            client.lease().expires_at(),
+            bound,
+            "a change that may have been notified stays notified"
+        );
     }
     let (at, call) = next_call(&mut client);
     client.watch_line(at, call, Some(changes(4)));
@@ -261,7 +270,7 @@
 }
 
 #[test]
-fn from_the_start_calls_that_are_held_and_refused_are_taken_for_an_outage() {
+fn held_and_refused_calls_since_the_start_count_as_an_outage() {
     let mut client = Client::new(Mode::Ask, rules(), 7, Duration::ZERO);
     client.follow(Duration::ZERO);
     let call = one_call(&mut client);
@@ -280,16 +289,16 @@
 }
 
 #[test]
-fn what_may_have_been_notified_before_discovery_was_lost_stays_notified() {
+fn failed_connects_do_not_extend_the_lease_once_a_change_may_have_been_notified() {
     for mode in [Mode::Ask, Mode::Push] {
         let (mut client, watch) = watching(mode);
         client.call_ended(seconds(5.0), watch, EndReason::Failed);
         let ended = client.lease().expires_at();
-        let (began, call) = next_call(&mut client);
+        let (started_at, call) = next_call(&mut client);
         client.call_ended(seconds(7.5), call, EndReason::NotConnected);
-        let bound = if mode == Mode::Ask { ended } else { Some(began + NOTIFIED_WITHIN + ALLOWANCE) };
+        let bound = if mode == Mode::Ask { ended } else { Some(started_at + NOTIFIED_WITHIN + ALLOWANCE) };
         assert_eq!(client.lease().expires_at(), bound, "{mode:?}");
-        // However long it takes to hear of it again.
+        // No matter how long discovery stays unreachable.
         while client.next_timer().is_some_and(|at| at < seconds(60.0)) {
             let (at, call) = next_call(&mut client);
             client.call_ended(at + seconds(2.0), call, EndReason::NotConnected);
@@ -298,9 +307,9 @@
     }
 }
 
-/// Guards against a list that serves on where discovery goes down just after a change counted as notified.
+/// Guards against a list that stays in use because discovery fails just after a change counted as notified.
 #[test]
-fn what_was_notified_just_before_a_call_failed_stays_notified() {
+fn a_call_that_fails_just_after_a_change_counts_as_notified_does_not_extend_the_lease() {
     for ending in [EndReason::NotConnected, EndReason::NoResponse, EndReason::Refused, EndReason::Failed] {
         let (mut client, watch) = watching(Mode::Ask);
         client.call_ended(seconds(5.0), watch, EndReason::Failed);
@@ -311,9 +320,10 @@
     }
 }
 
-/// Guards against a process that stood still, finds its watch silent and uses the old list again before it has a newer one.
+/// Guards against a process that was stalled, finds its watch silent, and uses the old list again before it has a newer
+/// one.
 #[test]
-fn a_wait_for_a_newer_list_whose_need_is_seen_late_lasts_until_one_is_there() {
+fn a_lease_found_expired_late_stays_expired_until_a_newer_list_is_received() {
     let (mut client, watch) = watching(Mode::Ask);
     client.call_ended(seconds(11.0), watch, EndReason::Silent);
     let expires = client.lease().expires_at().expect("a bound");
@@ -325,9 +335,9 @@
     }
 }
 
-/// Guards against an old list in use again before an outage that began as a change was notified is over.
+/// Guards against using the old list again during an outage that began when a change was notified.
 #[test]
-fn a_wait_for_a_newer_list_lasts_through_an_outage_of_any_length() {
+fn an_expired_lease_stays_expired_through_an_outage_of_any_length() {
     let (mut client, watch) = watching(Mode::Ask);
     client.call_ended(seconds(5.0), watch, EndReason::Failed);
     let expires = client.lease().expires_at();
@@ -340,9 +350,10 @@
     }
 }
 
-/// Guards against a fleet that moves to another server and holds its requests until each has a whole list beside its watch.
+/// Guards against a fleet that switches to another server and queues all requests until each sidecar has received a
+/// whole list in addition to its watch.
 #[test]
-fn a_whole_list_that_is_refused_beside_a_new_server_s_watch_holds_nothing_back() {
+fn a_refused_whole_list_does_not_bound_the_lease_while_the_new_server_s_watch_is_open() {
     let (mut client, _) = watching(Mode::Ask);
     client.server_changed(seconds(5.0));
     let watch = one_call(&mut client);
@@ -351,5 +362,5 @@
     let (at, whole_list) = next_call(&mut client);
     client.call_ended(at + seconds(0.01), whole_list, EndReason::Refused);
     assert_eq!(client.lease().expires_at(), None);
-    assert!(client.next_timer().is_some_and(|next| next > at), "it is asked for again");
+    assert!(client.next_timer().is_some_and(|next| next > at), "it is requested again");
 }
--- a/crates/discovery-client/tests/notified_changes.rs
+++ b/crates/discovery-client/tests/notified_changes.rs
@@ -1,5 +1,6 @@
-//! Drawn histories of a discovery service beside one client: no list may be used once a change that it lacks counts as
-//! notified. What counts is recorded beside the client, from what discovery had and when it could be reached.
+//! Random histories of a discovery service with one client: no list may be used once a change missing from it counts
+//! as notified. The test computes that time independently of the client, from the changes that discovery had and the
+//! times at which it could be reached.
 
 use curlewhub_config::list::EndpointList;
 use curlewhub_discovery_client::{Action, CallId, CallKind, Client, EndReason, LeaseSettings, Mode};
@@ -16,40 +17,40 @@
 const RUN_END: Duration = Duration::from_secs(90);
 const HISTORIES: u64 = 400;
 
-/// How discovery is, for a while.
+/// The condition of discovery during a part of a history.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
     Serving,
-    /// Each call is refused at once; watches go on.
-    Crowded,
-    /// Calls are held to a limit and refused; watches were reset.
+    /// Each call is refused at once; open watches continue.
+    Overloaded,
+    /// Calls are held up to a time limit and refused; watches were reset.
     Holding,
-    /// No connection is established; watches were reset.
-    Gone,
+    /// No connection can be established; watches were reset.
+    Unreachable,
 }
 
-/// A call that is out, or a watch that is up.
+/// An active call or an open watch.
 #[derive(Clone, Copy, Debug)]
 struct Call {
     id: CallId,
     kind: CallKind,
-    ends_at: Duration,
-    ending: Option<EndReason>,
-    is_up: bool,
+    answered_at: Duration,
+    end_reason: Option<EndReason>,
+    is_open: bool,
 }
 
 struct History {
     client: Client,
-    draws: Pcg32,
+    rng: Pcg32,
     phase: Phase,
     phase_ends: Duration,
     calls: Vec<Call>,
     version: u64,
-    /// The version that the client holds.
-    held: u64,
-    /// When the first change that the client lacks counts as notified; none while it could not be.
+    /// The version of the client's list.
+    client_version: u64,
+    /// When the first change that the client has not received counts as notified; none if there is no such time yet.
     notified: Option<Duration>,
-    /// The client lacks a change that could not be had yet.
+    /// The client has not received a change, and discovery could not be reached since the change.
     unreachable_change: bool,
 }
 
@@ -61,31 +62,31 @@
         client.follow(Duration::ZERO);
         History {
             client,
-            draws: Pcg32::seed_from_u64(seed),
+            rng: Pcg32::seed_from_u64(seed),
             phase: Phase::Serving,
             phase_ends: Duration::ZERO,
             calls: Vec::new(),
             version: 1,
-            held: 1,
+            client_version: 1,
             notified: None,
             unreachable_change: false,
         }
     }
 
-    fn draw(&mut self, least_ms: u64, most_ms: u64) -> Duration {
-        let span = most_ms - least_ms;
-        Duration::from_millis(least_ms + u64::from(self.draws.next_u32()) * span / u64::from(u32::MAX))
+    fn random_duration(&mut self, min_ms: u64, max_ms: u64) -> Duration {
+        let span = max_ms - min_ms;
+        Duration::from_millis(min_ms + u64::from(self.rng.next_u32()) * span / u64::from(u32::MAX))
     }
 
-    fn one_in(&mut self, count: u32) -> bool {
-        self.draws.next_u32().is_multiple_of(count)
+    fn one_chance_in(&mut self, count: u32) -> bool {
+        self.rng.next_u32().is_multiple_of(count)
     }
 
     fn reachable(&self) -> bool {
-        matches!(self.phase, Phase::Serving | Phase::Crowded)
+        matches!(self.phase, Phase::Serving | Phase::Overloaded)
     }
 
-    fn counts_from(&mut self, at: Duration) {
+    fn mark_notified_from(&mut self, at: Duration) {
         self.notified = Some(self.notified.map_or(at, |notified| notified.min(at)));
     }
 
@@ -93,69 +94,70 @@
         if now >= self.phase_ends {
             self.next_phase(now);
         }
-        if self.one_in(300) {
+        if self.one_chance_in(300) {
             self.change(now);
         }
-        if self.one_in(1500) {
+        if self.one_chance_in(1500) {
             self.client.server_changed(now);
-            if self.held < self.version && self.reachable() {
-                self.counts_from(now + NOTIFIED_AFTER_SERVER_CHANGE);
+            if self.client_version < self.version && self.reachable() {
+                self.mark_notified_from(now + NOTIFIED_AFTER_SERVER_CHANGE);
             }
         }
         for call in self.calls.clone() {
-            if !call.is_up && call.ends_at <= now {
+            if !call.is_open && call.answered_at <= now {
                 self.end(now, call);
             }
         }
         if self.client.next_timer().is_some_and(|at| at <= now) {
             self.client.timer(now);
         }
-        self.carry_out(now);
+        self.perform_actions(now);
     }
 
     fn next_phase(&mut self, now: Duration) {
-        let phases = [Phase::Serving, Phase::Crowded, Phase::Holding, Phase::Gone];
-        let next = phases[self.draws.next_u32() as usize % phases.len()];
-        // Outages in which calls are held are told from too many callers up to this length, counted over two of them.
+        let phases = [Phase::Serving, Phase::Overloaded, Phase::Holding, Phase::Unreachable];
+        let next = phases[self.rng.next_u32() as usize % phases.len()];
+        // Held calls are told apart from too many callers only in outages up to LONGEST_OUTAGE, and two such phases in a
+        // row count as one outage. So `Holding` does not follow a phase in which discovery could not be reached.
         let next = if next == Phase::Holding && !self.reachable() { Phase::Serving } else { next };
         self.phase = next;
         self.phase_ends = now
             + match next {
-                Phase::Serving => self.draw(3000, 20_000),
-                Phase::Crowded => self.draw(500, 15_000),
-                Phase::Holding => self.draw(500, LONGEST_OUTAGE_MS),
-                Phase::Gone => self.draw(500, 30_000),
+                Phase::Serving => self.random_duration(3000, 20_000),
+                Phase::Overloaded => self.random_duration(500, 15_000),
+                Phase::Holding => self.random_duration(500, LONGEST_OUTAGE_MS),
+                Phase::Unreachable => self.random_duration(500, 30_000),
             };
         if self.reachable() {
             if std::mem::take(&mut self.unreachable_change) {
-                self.counts_from(now + NOTIFIED_WITHIN);
+                self.mark_notified_from(now + NOTIFIED_WITHIN);
             }
             return;
         }
-        // What did not count before counts anew from discovery's return on.
+        // A change that did not count as notified yet counts from the recovery of discovery.
         if self.notified.take_if(|notified| *notified > now).is_some() {
             self.unreachable_change = true;
         }
-        for watch in self.calls.clone().into_iter().filter(|call| call.is_up) {
+        for watch in self.calls.clone().into_iter().filter(|call| call.is_open) {
             self.calls.retain(|call| call.id != watch.id);
             self.client.call_ended(now, watch.id, EndReason::Reset);
         }
     }
 
-    /// A change comes on the watch, ends it, or finds none.
+    /// Makes a change of the list, which arrives on the watch, ends the watch, or finds no watch open.
     fn change(&mut self, now: Duration) {
         self.version += 1;
-        match self.calls.iter().find(|call| call.is_up).copied() {
-            Some(watch) if self.one_in(2) => {
+        match self.calls.iter().find(|call| call.is_open).copied() {
+            Some(watch) if self.one_chance_in(2) => {
                 self.calls.retain(|call| call.id != watch.id);
                 self.client.call_ended(now, watch.id, EndReason::Failed);
-                self.counts_from(now + NOTIFIED_AFTER_WATCH_END);
+                self.mark_notified_from(now + NOTIFIED_AFTER_WATCH_END);
             }
             Some(watch) => {
-                self.written();
+                self.list_received();
                 self.client.watch_line(now, watch.id, Some(self.list()));
             }
-            None if self.reachable() => self.counts_from(now + NOTIFIED_WITHIN),
+            None if self.reachable() => self.mark_notified_from(now + NOTIFIED_WITHIN),
             None => self.unreachable_change = true,
         }
     }
@@ -164,41 +166,47 @@
         EndpointList { rev: self.version, is_complete: true, targets: Vec::new() }
     }
 
-    fn written(&mut self) {
-        (self.held, self.notified, self.unreachable_change) = (self.version, None, false);
+    fn list_received(&mut self) {
+        (self.client_version, self.notified, self.unreachable_change) = (self.version, None, false);
     }
 
     fn end(&mut self, now: Duration, call: Call) {
-        self.calls.retain(|out| out.id != call.id);
-        let ending = match (call.ending, self.reachable()) {
+        self.calls.retain(|active| active.id != call.id);
+        let end_reason = match (call.end_reason, self.reachable()) {
             (None, false) => Some(EndReason::NoResponse),
-            (ending, _) => ending,
+            (end_reason, _) => end_reason,
         };
-        match (ending, call.kind) {
-            (Some(ending), _) => self.client.call_ended(now, call.id, ending),
+        match (end_reason, call.kind) {
+            (Some(end_reason), _) => self.client.call_ended(now, call.id, end_reason),
             (None, CallKind::WholeList) => {
-                self.written();
+                self.list_received();
                 self.client.whole_list(now, call.id, self.list());
             }
             (None, CallKind::Watch { .. }) => {
-                self.written();
+                self.list_received();
                 self.client.watch_line(now, call.id, Some(self.list()));
-                self.calls.push(Call { is_up: true, ..call });
+                self.calls.push(Call { is_open: true, ..call });
             }
         }
     }
 
-    fn carry_out(&mut self, now: Duration) {
+    fn perform_actions(&mut self, now: Duration) {
         for action in self.client.take_actions() {
             match action {
                 Action::Call { id, kind, .. } => {
-                    let (takes, ending) = match self.phase {
-                        Phase::Serving => (self.draw(5, 1500), None),
-                        Phase::Crowded => (self.draw(1, 50), Some(EndReason::Refused)),
-                        Phase::Holding => (self.draw(2000, 3000), Some(EndReason::Refused)),
-                        Phase::Gone => (self.draw(1, 20), Some(EndReason::NotConnected)),
+                    let (takes, end_reason) = match self.phase {
+                        Phase::Serving => (self.random_duration(5, 1500), None),
+                        Phase::Overloaded => (self.random_duration(1, 50), Some(EndReason::Refused)),
+                        Phase::Holding => (self.random_duration(2000, 3000), Some(EndReason::Refused)),
+                        Phase::Unreachable => (self.random_duration(1, 20), Some(EndReason::NotConnected)),
                     };
-                    self.calls.push(Call { id, kind, ends_at: now + takes, ending, is_up: false });
+                    self.calls.push(Call {
+                        id,
+                        kind,
+                        answered_at: now + takes,
+                        end_reason,
+                        is_open: false,
+                    });
                 }
                 Action::Cancel(id) => self.calls.retain(|call| call.id != id),
                 Action::Apply(_) | Action::Unchanged | Action::Report(_) => {}
@@ -211,9 +219,9 @@
     }
 }
 
-/// Guards against each way in which a list is used though a change that it lacks counts as notified.
+/// Guards against any way in which a list is used although a change missing from it counts as notified.
 #[test]
-fn no_list_is_used_once_a_change_that_it_lacks_counts_as_notified() {
+fn no_list_is_used_once_a_change_missing_from_it_counts_as_notified() {
     let (mut used, mut steps) = (0_u64, 0_u64);
     for seed in 0..HISTORIES {
         let mut history = History::new(seed);
--- a/crates/discovery-client/tests/versions.rs
+++ b/crates/discovery-client/tests/versions.rs
@@ -1,4 +1,4 @@
-//! One order of lists and changes, over the move from one server to another.
+//! The order of whole lists and changes, also across the switch from one server to another.
 
 use curlewhub_config::list::{EndpointList, Target, TargetState};
 use curlewhub_discovery_client::{Epoch, PENDING_CHANGES_LIMIT, Versions};
@@ -29,62 +29,68 @@
 fn versions_of_two_servers_are_never_compared() {
     let mut versions = Versions::new(900);
     assert_eq!(versions.request_after(Epoch(0)), 900);
-    assert_eq!(versions.request_after(Epoch(1)), 0, "none of its versions is held");
+    assert_eq!(versions.request_after(Epoch(1)), 0, "none of its versions is known");
     versions.watch_opened(Epoch(1), Some(&list(3, true, &[])));
     assert_eq!((versions.epoch(), versions.version()), (Epoch(1), 3));
     assert!(!versions.needs_whole_list());
     assert_eq!(
         versions.merge_whole_list(Epoch(0), 900, list(901, true, &[])),
         None,
-        "the old server's late word"
+        "a late answer from the old server"
     );
 }
 
 #[test]
-fn changes_that_came_beside_a_whole_list_hold_over_it_where_they_are_newer() {
+fn newer_changes_from_the_watch_override_the_whole_list() {
     let mut versions = Versions::new(5);
     versions.watch_opened(Epoch(1), Some(&list(2, false, &[("a", TargetState::Draining)])));
     versions.apply_watch_line(&list(4, false, &[("b", TargetState::Removed), ("c", TargetState::Up)]));
     assert!(versions.needs_whole_list());
     let whole = list(3, true, &[("a", TargetState::Up), ("b", TargetState::Up)]);
-    let merged = versions.merge_whole_list(Epoch(1), 4, whole).expect("it is owed");
+    let merged = versions.merge_whole_list(Epoch(1), 4, whole).expect("the whole list was missing");
     assert!(merged.is_complete);
     assert_eq!(
         names(&merged),
         [("a", TargetState::Up), ("c", TargetState::Up)],
-        "a changed before the list was made"
+        "a changed before the list was created"
     );
     assert_eq!(versions.version(), 4);
     assert!(!versions.needs_whole_list());
 }
 
 #[test]
-fn a_whole_list_is_taken_unless_the_watch_has_brought_newer_changes_since_it_was_asked_for() {
+fn a_whole_list_is_applied_unless_the_watch_has_brought_newer_changes_since_the_request() {
     let mut versions = Versions::new(5);
-    assert!(versions.merge_whole_list(Epoch(0), 5, list(3, true, &[])).is_some(), "its server began anew");
+    assert!(
+        versions.merge_whole_list(Epoch(0), 5, list(3, true, &[])).is_some(),
+        "its server has restarted its numbering"
+    );
     versions.apply_watch_line(&list(8, false, &[]));
     assert!(versions.merge_whole_list(Epoch(0), 3, list(7, true, &[])).is_none());
     assert!(versions.merge_whole_list(Epoch(0), 8, list(8, true, &[])).is_some());
 }
 
 #[test]
-fn of_a_list_that_does_not_count_whole_departures_count_unless_they_are_older_than_what_is_held() {
+fn departures_in_a_partial_list_are_applied_unless_older_than_the_current_list() {
     let versions = Versions::new(5);
-    let torn =
+    let partial =
         list(6, true, &[("a", TargetState::Draining), ("b", TargetState::Up), ("c", TargetState::Removed)]);
-    let departures = versions.departures(Epoch(0), torn.clone()).expect("some leave");
+    let departures = versions.departures(Epoch(0), partial.clone()).expect("there are departures");
     assert_eq!(names(&departures), [("a", TargetState::Draining), ("c", TargetState::Removed)]);
     assert!(!departures.is_complete);
-    assert!(versions.departures(Epoch(0), EndpointList { rev: 4, ..torn.clone() }).is_none());
-    assert!(versions.departures(Epoch(1), EndpointList { rev: 1, ..torn }).is_some(), "of a newer server");
+    assert!(versions.departures(Epoch(0), EndpointList { rev: 4, ..partial.clone() }).is_none());
+    assert!(
+        versions.departures(Epoch(1), EndpointList { rev: 1, ..partial }).is_some(),
+        "from a newer server"
+    );
 }
 
 #[test]
-fn changes_beside_a_whole_list_that_never_comes_are_bounded() {
+fn pending_changes_are_limited_while_the_whole_list_is_missing() {
     let mut versions = Versions::new(0);
     versions.watch_opened(Epoch(1), Some(&list(1, false, &[])));
     for rev in 2.. {
-        if versions.overflows() {
+        if versions.pending_limit_exceeded() {
             assert_eq!(rev as usize, PENDING_CHANGES_LIMIT + 3);
             return;
         }
--- a/crates/overlap-quota/src/lib.rs
+++ b/crates/overlap-quota/src/lib.rs
@@ -6,8 +6,8 @@
 //! away. A part is deducted from the giver before it is sent, so two processes never hold more than all parts together,
 //! whatever is late or lost. When one process has ended, the other takes over what it held.
 //!
-//! In a chain of three processes (a successor has a successor) the one in the middle passes parts on. If it is killed, the
-//! two others do not know of each other: a process that is ending then takes nothing back, see
+//! In a chain of three processes (a successor has a successor) the one in the middle passes parts on. If it is
+//! killed, the two others do not know of each other: a process that is ending then takes nothing back, see
 //! [`OverlapQuota::remove_neighbour`].
 
 #![warn(clippy::too_many_lines)]
@@ -16,8 +16,8 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The number of parts that the whole quota of a sidecar is divided into. Fine enough that a sixteenth of the calls is not
-/// rounded away.
+/// The number of parts that the whole quota of a sidecar is divided into. Fine enough that a sixteenth of the calls
+/// is not rounded away.
 pub const TOTAL_PARTS: u32 = 64;
 /// The minimum that a running process keeps, whatever its demand: a sixteenth, so that its first call is not rejected.
 pub const MIN_PARTS: u32 = 4;
@@ -149,9 +149,9 @@
         Ok(())
     }
 
-    /// Gives parts to a neighbour in proportion to the demands of both, and returns how many. Returns `None` if there is
-    /// less to give than [`MIN_TRANSFER`], or if the neighbour has never reported a demand, as its version may not know of
-    /// parts.
+    /// Gives parts to a neighbour in proportion to the demands of both, and returns how many. Returns `None` if there
+    /// is less to give than [`MIN_TRANSFER`], or if the neighbour has never reported a demand, as its version may not
+    /// know of parts.
     pub fn give(&mut self, link: u64, own_demand: u32) -> Option<u32> {
         let neighbour = self.neighbours.get_mut(&link)?;
         let other_demand = f64::from(neighbour.demand?);
