--- a/crates/keys/src/clock.rs
+++ b/crates/keys/src/clock.rs
@@ -1,8 +1,9 @@
 //! Comparison of the anchored Unix clocks of two processes of one boot.
 //!
-//! Each process reads the wall clock once, at its start, and counts on from there by the monotonic clock. If the wall
-//! clock is stepped between two starts, the two processes differ by that step. A [`ClockAnchor`] names the same moment
-//! on the clock of the boot as well, so that the step can be computed and removed.
+//! Each process reads the wall clock once, at its start, and adds the time that passes on the monotonic
+//! clock. If the wall clock is stepped between two starts, the clocks of the two processes differ by that
+//! step. A [`ClockAnchor`] records the same moment on the clock of the boot as well, so that the step can be
+//! computed and removed.
 
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
@@ -27,7 +28,7 @@
     pub suspended_ms: u32,
 }
 
-/// The binary form of an anchor outside of journals, as it is appended to snapshots.
+/// The binary format of an anchor outside of journals: snapshots contain it as their appendix.
 #[derive(FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned)]
 #[repr(C)]
 struct AnchorBytes {
--- a/crates/keys/src/journal.rs
+++ b/crates/keys/src/journal.rs
@@ -26,7 +26,7 @@
 /// How many dirty slots one retry writes: 640 KiB of page cache, which takes well under a millisecond.
 const MAX_DIRTY_SLOTS_PER_RETRY: usize = 16_384;
 
-/// The journal file of this process: a header and fixed-size slots. It is locked for as long as the process runs.
+/// The journal file of this process: a header and fixed-size slots. It is locked while the process runs.
 #[derive(Debug)]
 pub struct Journal {
     file: File,
@@ -47,7 +47,8 @@
     pub zones_hash: u64,
 }
 
-/// The journal of this process on a disk that may fail: slots that could not be written stay dirty and are retried.
+/// The journal of this process on a disk that may fail. Slots that could not be written stay dirty and are
+/// retried.
 #[derive(Debug)]
 pub struct RetryingJournal {
     location: JournalFolder,
@@ -283,8 +284,8 @@
         (entries, problems)
     }
 
-    /// Removes files of ended processes that were not written for `retention` by the wall clock. Returns their number.
-    /// Where the file system has no locks, every process counts as ended.
+    /// Removes files of ended processes that were not written for `retention` by the wall clock. Returns the
+    /// number of files removed. Where the file system has no locks, every process counts as ended.
     pub fn remove_expired(&self, retention: Duration) -> usize {
         self.remove_expired_with_clock(retention, None)
     }
--- a/crates/runtime/tests/interrupts.rs
+++ b/crates/runtime/tests/interrupts.rs
@@ -9,7 +9,8 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// A socket that is always ready. Half of the calls on average are interrupted, the others transfer a few bytes.
+/// A socket that is always ready. On average half of the calls are interrupted; the others transfer a few
+/// bytes.
 struct FaultySocket {
     random: RefCell<Pcg32>,
     incoming: RefCell<Vec<u8>>,
