--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -1,4 +1,4 @@
-//! The structure that both file formats are turned into.
+//! The structure that both file formats are parsed into.
 
 use crate::fleet::FleetConfig;
 use crate::list::EndpointList;
@@ -8,61 +8,65 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Fewer descriptors than this leave nothing to serve with: 48 are kept for the listener, the runtime,
-/// discovery, operators and refused clients.
+/// The minimum number of file descriptors. 48 are reserved for the listener, the runtime, discovery,
+/// operators and refused clients, so fewer than this leave too few for requests.
 pub const MIN_SOCKETS: usize = 64;
-/// Less memory than this, in MiB, leaves no room for a client.
+/// The minimum memory in MiB; less does not suffice for a single client.
 pub const MIN_MEMORY_MB: usize = 8;
-/// An endpoint that accepts more connections needs no bound.
+/// The maximum of `endpoint_connections`. An endpoint that accepts more connections needs no limit.
 pub const MAX_ENDPOINT_CONNECTIONS: u32 = 1_000_000;
-/// Repeated log lines from one place, a second, where nothing is said.
+/// The default of `LogSettings::per_second`.
 pub const DEFAULT_LOG_LINES_PER_SECOND: u32 = 20;
 
-/// A sidecar's whole configuration.
+/// The complete configuration of a sidecar.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     /// Its name, for the log.
     pub name: String,
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Where discovery listens; none where the list is in the file alone.
+    /// The address of the discovery service; none if the endpoint list is in the file.
     pub discovery: Option<SocketAddr>,
-    /// Where operators call, if anywhere.
+    /// The address for operators, if there is one.
     pub operator: Option<SocketAddr>,
-    /// For random numbers; new with each start.
+    /// The seed of the random generator; drawn anew at each start unless the file sets it.
     pub seed: u64,
-    /// Descriptors it may hold.
+    /// The maximum number of open file descriptors.
     pub sockets: usize,
-    /// Connections that each endpoint accepts from all sidecars together; none where nobody says.
+    /// The number of connections that each endpoint accepts from all sidecars together; none if unknown.
     pub endpoint_connections: Option<u32>,
-    /// Memory it may use, in MiB.
+    /// The memory limit in MiB.
     pub memory_mb: usize,
-    /// Where it keeps bans and the handover's socket.
+    /// The folder for bans and the handover socket.
     pub state_dir: PathBuf,
-    /// Whether a start may take over from a process that serves at the same address, or share the port.
+    /// Whether the process may take over from one that serves at the same address, or share the port with
+    /// it.
     pub may_take_over: bool,
-    /// The endpoint list: where there is discovery, as last held, and it may be old.
+    /// The endpoint list at the start. With a discovery service it is the one last received, and may be
+    /// outdated.
     pub initial_list: EndpointList,
-    /// The log.
+    /// How the log is written.
     pub log: LogSettings,
-    /// The module's settings.
+    /// The settings of the balancing module.
     pub settings: Settings,
-    /// What made no sense and was taken otherwise, for the log.
+    /// Invalid values that were replaced; they are logged.
     pub warnings: Vec<Problem>,
-    /// Names on the wire of what the module knows by number.
+    /// The names of what the module identifies by index.
     pub names: Names,
-    /// The fleet whose view it holds; none on the platform, where instances share nothing, and where nobody says.
+    /// The fleet whose view the sidecar subscribes to. None without a `[fleet]` section, and always on the
+    /// platform, where sidecars share nothing.
     pub fleet: Option<FleetConfig>,
 }
 
-/// How the log is written.
+/// Settings of the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogSettings {
-    /// Lines for people or for programs.
+    /// The format of a line.
     pub format: LogFormat,
-    /// The least level, alone or by target: `info`, `warn,curlewhub_runtime=debug`.
+    /// The minimum level, for all targets or by target: `info`, `warn,curlewhub_runtime=debug`.
     pub level: String,
-    /// So many lines a second from one place in the program; the rest is counted.
+    /// The maximum number of lines per second from one place in the program. Further lines are only
+    /// counted.
     pub per_second: u32,
 }
 
@@ -76,21 +80,21 @@
     }
 }
 
-/// How a log line is worded.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// The names behind the module's indices.
+/// The names of what the balancing module identifies by index.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 pub struct Names {
-    /// Classes, the first part of a request's path.
+    /// Classes; the name is the first segment of a request's path.
     pub classes: Vec<Named>,
     /// Tenants.
     #[serde(default)]
@@ -99,7 +103,7 @@
     #[serde(default)]
     #[serde(rename = "areas")]
     pub zones: Vec<String>,
-    /// Machine kinds.
+    /// Kinds of machines.
     #[serde(default)]
     pub kinds: Vec<String>,
 }
@@ -107,6 +111,6 @@
 /// One entry of a named list.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Named {
-    /// Its name.
+    /// The name.
     pub name: String,
 }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The settings of a process's part in the control plane: a file of its own for a consensus server or a subscriber, the
-//! `[fleet]` section of its file for a sidecar.
+//! The settings of a process's part in the control plane: a file of its own for a consensus server or a
+//! subscriber, the `[fleet]` section of its file for a sidecar.
 //!
 //! Fields are renamed for serde: keys keep the names that operators use.
 
@@ -10,7 +10,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The maximum number of consensus servers. Five already survive two failures; more only make agreement slower.
+/// The maximum number of consensus servers. Five already survive two failures; more only make agreement
+/// slower.
 const MAX_CONSENSUS_SERVERS: usize = 9;
 
 /// The settings of one process.
@@ -19,7 +20,8 @@
 pub struct FleetConfig {
     /// The name of the process, unique in the fleet.
     pub name: String,
-    /// The address on which it listens, for streams and for datagrams, and from which it connects and sends.
+    /// The address on which it listens, for streams and for datagrams, and from which it connects and
+    /// sends.
     pub listen: SocketAddr,
     /// The address at which others reach it, if that is not `listen`.
     pub advertise: Option<SocketAddr>,
@@ -46,7 +48,8 @@
     /// For tests: an offset in milliseconds to the wall clock that the control plane reads.
     #[serde(default)]
     pub clock_ahead_ms: i64,
-    /// This consensus server joins an existing fleet. Its id must never have been used, and its folder must be empty.
+    /// This consensus server joins an existing fleet. Its id must never have been used, and its folder must
+    /// be empty.
     #[serde(default)]
     pub joins: bool,
 }
@@ -71,8 +74,8 @@
     pub name: String,
     /// The address at which this process reaches it.
     pub address: SocketAddr,
-    /// Its zone; empty if unknown. With three or more zones no zone may contain so many servers that the others are no
-    /// majority.
+    /// Its zone; empty if unknown. With three or more zones no zone may contain so many servers that the
+    /// others are no majority.
     #[serde(default)]
     #[serde(rename = "hall")]
     pub zone: String,
@@ -91,8 +94,8 @@
     pub address: SocketAddr,
 }
 
-/// How zones fail over and recover. Consensus servers decide by these settings, and so does a sidecar that has lost contact
-/// to them.
+/// How zones fail over and recover. Consensus servers decide by these settings, and so does a sidecar that
+/// has lost contact to them.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ZoneFailoverConfig {
@@ -106,8 +109,9 @@
     /// The smallest share of calls into a zone that is lost while the zone is unreachable, 0 to 1.
     #[serde(rename = "dark_loses")]
     pub unreachable_loss: f64,
-    /// The log-likelihood ratio at which a zone counts as unreachable: how much likelier the observed outcomes must be for
-    /// an unreachable zone than for a healthy one, as a natural logarithm. 20 means 500 million to 1.
+    /// The log-likelihood ratio at which a zone counts as unreachable: how much likelier the observed
+    /// outcomes must be for an unreachable zone than for a healthy one, as a natural logarithm. 20 means
+    /// 500 million to 1.
     #[serde(rename = "alarm")]
     pub alarm_log_likelihood: f64,
     /// The minimum number of sidecars that must lose calls into a zone; all of them if there are fewer.
@@ -115,8 +119,8 @@
     /// The minimum number of zones that these sidecars must be in; all of them if there are fewer.
     #[serde(rename = "halls_of_witnesses")]
     pub witness_zones: u32,
-    /// A zone is slow if its latency ratio is more than this many times the one of before, and more than half this many
-    /// times the median of the other zones of its tier ...
+    /// A zone is slow if its latency ratio is more than this many times the one of before, and more than
+    /// half this many times the median of the other zones of its tier ...
     #[serde(rename = "slow")]
     pub slow_ratio: f64,
     /// ... for this long.
@@ -127,7 +131,8 @@
     /// The maximum number of automatic failovers at the same time. Zones of one region count as one.
     #[serde(rename = "at_once")]
     pub max_concurrent_failovers: u32,
-    /// The wait before the recovery of a zone begins. It doubles with each failover within `flap_window` of a recovery ...
+    /// The wait before the recovery of a zone begins. It doubles with each failover within `flap_window` of
+    /// a recovery ...
     #[serde(rename = "rest")]
     pub cooldown: Span,
     /// ... up to this maximum.
@@ -197,8 +202,8 @@
         let zones: Vec<&String> = self.regions.values().flatten().collect();
         let distinct_zones: BTreeSet<&&String> = zones.iter().collect();
         let cases = [
-            (distinct_zones.len() == zones.len(), "regions", "each hall in one region"),
-            (zones.iter().all(|zone| !zone.contains('/')), "regions", "names of halls without `/`"),
+            (distinct_zones.len() == zones.len(), "regions", "each zone in one region"),
+            (zones.iter().all(|zone| !zone.contains('/')), "regions", "names of zones without `/`"),
             (is_share(self.healthy_loss), "sound_loses", "over 0, below 1"),
             (
                 is_share(self.unreachable_loss) && self.unreachable_loss > self.healthy_loss,
@@ -314,7 +319,7 @@
                 checks.require(
                     lost <= servers.len() - majority,
                     format!("keepers.{field} `{domain}`"),
-                    "so few keepers that a majority is left without them",
+                    "so few consensus servers that the others are a majority",
                 );
             }
         }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a sidecar is told: one validated structure, whichever file it was read from.
+//! The configuration of a sidecar: one validated structure, whichever file format it was read from.
 //!
 //! Operators write a TOML file ([`mod@file`]); the platform writes JSON ([`platform`]). Both become a
-//! [`Config`], and both are held to the module's own ranges (`Settings::problems`).
+//! [`Config`], and both are checked against the ranges of the balancing module (`Settings::problems`).
 
 mod config;
 pub mod file;
--- a/crates/config/src/list.rs
+++ b/crates/config/src/list.rs
@@ -1,36 +1,36 @@
-//! The endpoint list as discovery words it.
+//! The endpoint list in the JSON form of the discovery service.
 
 use serde::de::{DeserializeSeed, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A list, whole or of changes.
+/// An endpoint list: a complete one, or a list of changes.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct EndpointList {
     /// Its version.
     pub rev: u64,
-    /// What is missing from it is gone.
+    /// Whether the list is complete: an endpoint that it lacks is gone. A list of changes is not.
     #[serde(rename = "all")]
     pub is_complete: bool,
-    /// Its entries.
+    /// The endpoints.
     pub targets: Vec<Target>,
 }
 
 impl EndpointList {
-    /// What can be read of a list that broke off: its whole entries up to the first that is not, as changes.
+    /// Reads a list whose transfer broke off: the entries before the first incomplete one, as changes.
     pub fn from_truncated(text: &[u8]) -> EndpointList {
         let mut list = EndpointList::default();
-        // Its end is missing: that it fails is expected, and what it had told by then is kept.
-        let _ = Torn(&mut list).deserialize(&mut serde_json::Deserializer::from_slice(text));
+        // Parsing fails at the missing end. The entries read before that are kept.
+        let _ = PartialListSeed(&mut list).deserialize(&mut serde_json::Deserializer::from_slice(text));
         list
     }
 }
 
-/// Reads a list, and within it its entries, as far as they come.
-struct Torn<'a>(&'a mut EndpointList);
+/// Reads a list, and the entries within it, up to the first parse error.
+struct PartialListSeed<'a>(&'a mut EndpointList);
 
-impl<'de> DeserializeSeed<'de> for Torn<'_> {
+impl<'de> DeserializeSeed<'de> for PartialListSeed<'_> {
     type Value = ();
 
     fn deserialize<D: Deserializer<'de>>(self, from: D) -> Result<(), D::Error> {
@@ -38,7 +38,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Torn<'_> {
+impl<'de> Visitor<'de> for PartialListSeed<'_> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -49,7 +49,7 @@
         while let Some(key) = map.next_key::<String>()? {
             match key.as_str() {
                 "rev" => self.0.rev = map.next_value()?,
-                "targets" => map.next_value_seed(Torn(self.0))?,
+                "targets" => map.next_value_seed(PartialListSeed(self.0))?,
                 _ => drop(map.next_value::<IgnoredAny>()?),
             }
         }
@@ -67,22 +67,22 @@
 /// One endpoint of a list.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Target {
-    /// Its id, the same at every sidecar and over restarts of its process.
+    /// The id, the same for every sidecar and across restarts of the endpoint's process.
     pub uid: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub endpoint: SocketAddr,
-    /// Its zone, by name.
+    /// The name of its zone.
     #[serde(default)]
     pub az: String,
-    /// Its machine kind, by name.
+    /// The name of its machine kind.
     #[serde(default)]
     pub model: String,
-    /// Endpoints of one group share which keys they have seen.
+    /// The group. The endpoints of a group share the set of idempotency keys that they have seen.
     #[serde(default)]
     pub pod_group: u64,
-    /// Whether it may be sent to.
+    /// Whether requests may be sent to it.
     pub state: TargetState,
-    /// Roughly its size.
+    /// A rough figure of its capacity.
     #[serde(default = "one")]
     pub capacity_hint: f64,
     /// When its process last started, in Unix milliseconds; 0 means long ago.
@@ -94,15 +94,15 @@
     1.0
 }
 
-/// An endpoint's standing in the list.
+/// The state of an endpoint in the list.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TargetState {
-    /// May be sent to.
+    /// Requests may be sent to it.
     Up,
-    /// Finishes what it has.
+    /// It finishes its requests and gets no new ones.
     Draining,
-    /// Gone; only among changes.
+    /// It is gone. This occurs only in lists of changes.
     Removed,
 }
 
@@ -111,20 +111,20 @@
     use super::*;
 
     #[test]
-    fn of_a_list_that_broke_off_whole_entries_are_read() {
+    fn complete_entries_of_a_truncated_list_are_read() {
         let entry = |n: u32| {
             format!("{{\"uid\":\"s-{n}\",\"endpoint\":\"127.0.0.1:7{n}\",\"state\":\"draining\"}}")
         };
         let text = format!("{{\"rev\":41,\"all\":true,\"targets\":[{},{}]}}", entry(1), entry(2));
-        let whole: EndpointList = serde_json::from_str(&text).unwrap();
+        let complete: EndpointList = serde_json::from_str(&text).unwrap();
         let ends: Vec<usize> =
-            whole.targets.iter().map(|t| text.find(&t.uid).unwrap() - 8 + entry(1).len()).collect();
+            complete.targets.iter().map(|t| text.find(&t.uid).unwrap() - 8 + entry(1).len()).collect();
         for end in 0..text.len() {
-            let torn = EndpointList::from_truncated(&text.as_bytes()[..end]);
-            assert!(!torn.is_complete, "what is missing may stand behind the break");
-            let read = ends.iter().filter(|at| end >= **at).count();
-            assert_eq!(torn.targets, whole.targets[..read], "{}", &text[..end]);
-            assert!(read == 0 || torn.rev == 41);
+            let truncated = EndpointList::from_truncated(&text.as_bytes()[..end]);
+            assert!(!truncated.is_complete, "missing endpoints may follow the break");
+            let entries_read = ends.iter().filter(|at| end >= **at).count();
+            assert_eq!(truncated.targets, complete.targets[..entries_read], "{}", &text[..end]);
+            assert!(entries_read == 0 || truncated.rev == 41);
         }
     }
 }
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,20 +1,20 @@
-//! What is wrong with a configuration.
+//! Errors in a configuration.
 
 use serde::Serialize;
 use std::fmt;
 
-/// One thing that is wrong: where, with which field, what, and what is allowed instead.
+/// One error: its place, the field, what is wrong, and what is allowed instead.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Problem {
     /// The file, or the flag or variable that a value came from.
     pub source: String,
-    /// The line of the file, from 1; none where the problem has no place in it.
+    /// The line of the file, from 1; none if the error belongs to no line.
     pub line: Option<usize>,
-    /// The field, by its path; empty where the file as a whole is at fault.
+    /// The path of the field; empty if the error is in the file as a whole.
     pub field: String,
     /// What is wrong.
     pub problem: String,
-    /// What is allowed; empty where the problem says it.
+    /// What is allowed; empty if `problem` says it.
     pub allowed: String,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// All that is wrong, one problem a line.
+/// All errors of a configuration; displayed one per line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Problems(pub Vec<Problem>);
 
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,5 +1,5 @@
-//! Reads a TOML file field by field, each through serde, so that one mistake does not hide the next: all
-//! problems are collected, each with its line, and so is where each value came from.
+//! Reads a TOML file field by field, each through serde, so that one error does not hide the next. All
+//! errors are collected with their lines, and all values with their origins.
 
 use crate::problem::Problem;
 use serde::Serialize;
@@ -11,10 +11,10 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// A value that wins over what the file says.
+/// A value that takes precedence over the file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Override {
-    /// The field, by its path, such as `limits.sockets`.
+    /// The path of the field, such as `limits.sockets`.
     pub field: String,
     /// The value as text.
     pub text: String,
@@ -22,125 +22,142 @@
     pub origin: String,
 }
 
-/// A field's value in effect, and where it came from.
+/// The value of a field in effect, and its origin.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct EffectiveValue {
-    /// The field, by its path.
+    /// The path of the field.
     pub field: String,
-    /// Its value.
+    /// The value.
     pub value: Value,
-    /// `default`, `FILE:LINE`, a flag or a variable.
+    /// `default`, `FILE:LINE`, a flag, an environment variable or `fleet configuration`.
     pub origin: String,
 }
 
-/// What is allowed for a field: as a person reads it, and as it is checked.
+/// The allowed values of a field: a description for error messages, and a check.
 pub struct Allowed<'a, T> {
-    text: &'a str,
+    description: &'a str,
     check: fn(&T) -> bool,
 }
 
-/// Anything that can be read at all.
-pub fn any<T>(text: &str) -> Allowed<'_, T> {
-    Allowed { text, check: |_| true }
+/// Allows every value of the type.
+pub fn any_value<T>(description: &str) -> Allowed<'_, T> {
+    Allowed { description, check: |_| true }
 }
 
-/// What passes this check.
-pub fn only<T>(text: &str, check: fn(&T) -> bool) -> Allowed<'_, T> {
-    Allowed { text, check }
+/// Allows values that pass this check.
+pub fn checked<T>(description: &str, check: fn(&T) -> bool) -> Allowed<'_, T> {
+    Allowed { description, check }
 }
 
-/// A table that is being read: its path, and the entries that nobody has asked for yet.
+/// A table that is being read: its path, and the entries that have not been read yet.
 pub struct Section<'i> {
     path: String,
     line: Option<usize>,
     entries: DeTable<'i>,
-    known: Vec<&'static str>,
+    known_names: Vec<&'static str>,
 }
 
-/// The file, and what has been found in it so far.
+/// Collects the values and problems of a file while it is read.
 pub struct Reader {
     source: String,
-    /// Offsets at which lines begin.
-    lines: Vec<usize>,
+    /// The offsets at which lines start.
+    line_starts: Vec<usize>,
+    /// The overrides, and whether each was used.
     overrides: Vec<(Override, bool)>,
     problems: Vec<Problem>,
     effective: Vec<EffectiveValue>,
-    /// Lines of the fields that were read.
-    placed: BTreeMap<String, usize>,
+    /// The lines of the fields that were read.
+    field_lines: BTreeMap<String, usize>,
 }
 
 impl Reader {
-    /// Parses a file; what can't be parsed is a problem, and the rest is read all the same.
+    /// Parses a file. Syntax errors are recorded as problems, and the rest is read nevertheless.
     pub fn parse<'i>(source: &str, text: &'i str, overrides: &[Override]) -> (Reader, Section<'i>) {
-        let lines = std::iter::once(0).chain(text.match_indices('\n').map(|(at, _)| at + 1)).collect();
+        let line_starts =
+            std::iter::once(0).chain(text.match_indices('\n').map(|(at, _)| at + 1)).collect();
         let mut reader = Reader {
             source: source.to_owned(),
-            lines,
+            line_starts,
             overrides: overrides.iter().cloned().map(|over| (over, false)).collect(),
             problems: Vec::new(),
             effective: Vec::new(),
-            placed: BTreeMap::new(),
+            field_lines: BTreeMap::new(),
         };
         let (table, errors) = DeTable::parse_recoverable(text);
         for error in errors {
-            let line = error.span().map(|span| reader.line(span.start));
-            reader.problem(line, "", error.message().trim(), "");
+            let line = error.span().map(|span| reader.line_of(span.start));
+            reader.add_problem(line, "", error.message().trim(), "");
         }
-        let root =
-            Section { path: String::new(), line: None, entries: table.into_inner(), known: Vec::new() };
+        let root = Section {
+            path: String::new(),
+            line: None,
+            entries: table.into_inner(),
+            known_names: Vec::new(),
+        };
         (reader, root)
     }
 
-    /// The line of an offset, from 1.
-    fn line(&self, at: usize) -> usize {
-        self.lines.partition_point(|begin| *begin <= at)
+    /// The line that contains an offset; the first one is 1.
+    fn line_of(&self, offset: usize) -> usize {
+        self.line_starts.partition_point(|start| *start <= offset)
     }
 
-    /// Notes a problem.
-    pub fn problem(&mut self, line: Option<usize>, field: &str, problem: &str, allowed: &str) {
+    /// Records a problem in the file.
+    pub fn add_problem(&mut self, line: Option<usize>, field: &str, problem: &str, allowed: &str) {
         let source = self.source.clone();
-        self.push(source, line, field, problem, allowed);
+        self.push_problem(source, line, field, problem, allowed);
     }
 
-    fn push(&mut self, source: String, line: Option<usize>, field: &str, problem: &str, allowed: &str) {
+    fn push_problem(
+        &mut self,
+        source: String,
+        line: Option<usize>,
+        field: &str,
+        problem: &str,
+        allowed: &str,
+    ) {
         self.problems.push(Problem {
             source,
             line,
-            // A quoted key may hold anything.
+            // A quoted key may contain any character.
             field: field.escape_debug().to_string(),
-            // On one line, whatever the parser has to say.
+            // Messages of the parser can have several lines; a problem is shown on one.
             problem: problem.split_whitespace().collect::<Vec<_>>().join(" "),
             allowed: allowed.to_owned(),
         });
     }
 
-    /// Notes a problem with a field that has been read: at its line, or at its section's.
-    pub fn problem_at(&mut self, field: &str, problem: &str, allowed: &str) {
+    /// Records a problem with a field that has been read: at its line, or at its origin if an override set
+    /// it.
+    pub fn add_field_problem(&mut self, field: &str, problem: &str, allowed: &str) {
         let origin = self.effective.iter().rev().find(|e| e.field == field).map(|e| e.origin.clone());
-        match (self.placed.get(field).copied(), origin) {
-            (None, Some(origin)) if origin != "default" => self.push(origin, None, field, problem, allowed),
-            (line, _) => self.problem(line, field, problem, allowed),
+        match (self.field_lines.get(field).copied(), origin) {
+            (None, Some(origin)) if origin != "default" => {
+                self.push_problem(origin, None, field, problem, allowed)
+            }
+            (line, _) => self.add_problem(line, field, problem, allowed),
         }
     }
 
-    /// What was read, or all that is wrong. Lines of one file come in their order.
+    /// Returns the effective values, or all problems, sorted by line; those without a line come last.
     pub fn finish(mut self) -> Result<Vec<EffectiveValue>, Vec<Problem>> {
         for (over, used) in std::mem::take(&mut self.overrides) {
             if !used {
-                self.push(over.origin, None, &over.field, "there is no such field", "");
+                self.push_problem(over.origin, None, &over.field, "there is no such field", "");
             }
         }
         self.problems.sort_by_key(|problem| (problem.line.is_none(), problem.line));
         if self.problems.is_empty() { Ok(self.effective) } else { Err(self.problems) }
     }
 
-    fn effective(&mut self, field: &str, value: &impl Serialize, origin: String) {
+    fn record_effective(&mut self, field: &str, value: &impl Serialize, origin: String) {
         let value = serde_json::to_value(value).unwrap_or(Value::Null);
         self.effective.push(EffectiveValue { field: field.to_owned(), value, origin });
     }
 
-    /// The overriding value of a field; the last one given wins.
-    fn overriding(&mut self, field: &str) -> Option<Override> {
+    /// The override of a field, if there is one; the last one given takes precedence. Marks all of them as
+    /// used.
+    fn use_override(&mut self, field: &str) -> Option<Override> {
         let mut found = None;
         for (over, used) in &mut self.overrides {
             if over.field == field {
@@ -152,8 +169,8 @@
     }
 }
 
-/// A value given as text: as it stands, or as TOML would read it.
-fn from_text<T: DeserializeOwned>(text: &str) -> Result<T, String> {
+/// Parses the text of an override: as a plain string, or else as a TOML value.
+fn parse_override<T: DeserializeOwned>(text: &str) -> Result<T, String> {
     let plain: StrDeserializer<'_, PlainError> = text.into_deserializer();
     T::deserialize(plain).or_else(|error| {
         let value = DeValue::parse(text).map_err(|_| error.to_string())?;
@@ -166,12 +183,12 @@
         if self.path.is_empty() { name.to_owned() } else { format!("{}.{name}", self.path) }
     }
 
-    fn take(&mut self, name: &'static str) -> Option<Spanned<DeValue<'i>>> {
-        self.known.push(name);
+    fn take_entry(&mut self, name: &'static str) -> Option<Spanned<DeValue<'i>>> {
+        self.known_names.push(name);
         self.entries.remove(name)
     }
 
-    /// A field's value; none where it is missing, or wrong, which is then noted.
+    /// Reads a field. Returns `None` if it is missing, or if it is invalid, which is recorded as a problem.
     pub fn optional<T: DeserializeOwned + Serialize>(
         &mut self,
         reader: &mut Reader,
@@ -179,141 +196,155 @@
         allowed: &Allowed<'_, T>,
     ) -> Option<T> {
         let field = self.field(name);
-        let written = self.take(name);
-        if let Some(over) = reader.overriding(&field) {
-            let value = from_text::<T>(&over.text).map_err(|problem| problem.to_string());
+        let written = self.take_entry(name);
+        if let Some(over) = reader.use_override(&field) {
+            let value = parse_override::<T>(&over.text).map_err(|problem| problem.to_string());
             return match value {
                 Ok(value) if (allowed.check)(&value) => {
-                    reader.effective(&field, &value, over.origin);
+                    reader.record_effective(&field, &value, over.origin);
                     Some(value)
                 }
                 Ok(_) => {
                     let problem = format!("`{}` is out of range", over.text);
-                    reader.push(over.origin, None, &field, &problem, allowed.text);
+                    reader.push_problem(over.origin, None, &field, &problem, allowed.description);
                     None
                 }
                 Err(problem) => {
-                    reader.push(over.origin, None, &field, &problem, allowed.text);
+                    reader.push_problem(over.origin, None, &field, &problem, allowed.description);
                     None
                 }
             };
         }
         let written = written?;
-        let line = reader.line(written.span().start);
-        let shown = shown(written.get_ref());
-        reader.placed.insert(field.clone(), line);
+        let line = reader.line_of(written.span().start);
+        let shown = display_value(written.get_ref());
+        reader.field_lines.insert(field.clone(), line);
         match T::deserialize(written.into_deserializer()) {
             Ok(value) if (allowed.check)(&value) => {
                 let origin = format!("{}:{line}", reader.source);
-                reader.effective(&field, &value, origin);
+                reader.record_effective(&field, &value, origin);
                 Some(value)
             }
             Ok(_) => {
-                reader.problem(Some(line), &field, &format!("{shown} is out of range"), allowed.text);
+                reader.add_problem(
+                    Some(line),
+                    &field,
+                    &format!("{shown} is out of range"),
+                    allowed.description,
+                );
                 None
             }
             Err(error) => {
-                reader.problem(Some(line), &field, error.message(), allowed.text);
+                reader.add_problem(Some(line), &field, error.message(), allowed.description);
                 None
             }
         }
     }
 
-    /// A field's value, or this one where it is missing. Where it is wrong that is noted, and this one
-    /// stands in for it so that reading can go on.
-    pub fn or<T: DeserializeOwned + Serialize>(
+    /// Reads a field, or returns this default if it is missing. An invalid value is recorded as a problem,
+    /// and reading goes on with the default.
+    pub fn with_default<T: DeserializeOwned + Serialize>(
         &mut self,
         reader: &mut Reader,
         name: &'static str,
         default: T,
         allowed: &Allowed<'_, T>,
     ) -> T {
-        let before = reader.problems.len();
+        let problems_before = reader.problems.len();
         match self.optional(reader, name, allowed) {
             Some(value) => value,
             None => {
-                if reader.problems.len() == before {
-                    reader.effective(&self.field(name), &default, "default".to_owned());
+                if reader.problems.len() == problems_before {
+                    reader.record_effective(&self.field(name), &default, "default".to_owned());
                 }
                 default
             }
         }
     }
 
-    /// A field's value, which must be there. Where it isn't, that is noted, and this one stands in for it.
+    /// Reads a mandatory field. If it is missing or invalid, that is recorded as a problem, and reading
+    /// goes on with the placeholder.
     pub fn required<T: DeserializeOwned + Serialize>(
         &mut self,
         reader: &mut Reader,
         name: &'static str,
-        stand_in: T,
+        placeholder: T,
         allowed: &Allowed<'_, T>,
     ) -> T {
-        let before = reader.problems.len();
+        let problems_before = reader.problems.len();
         self.optional(reader, name, allowed).unwrap_or_else(|| {
-            if reader.problems.len() == before {
-                reader.problem(self.line, &self.field(name), "missing", allowed.text);
+            if reader.problems.len() == problems_before {
+                reader.add_problem(self.line, &self.field(name), "missing", allowed.description);
             }
-            stand_in
+            placeholder
         })
     }
 
-    /// A table of this one; an empty one where it is missing.
+    /// Reads a table within this one; an empty one if it is missing.
     pub fn section(&mut self, reader: &mut Reader, name: &'static str) -> Section<'i> {
         let path = self.field(name);
-        let taken = self.take(name).and_then(|value| Section::of(reader, path.clone(), value));
-        taken.unwrap_or(Section { path, line: None, entries: DeTable::new(), known: Vec::new() })
+        let taken =
+            self.take_entry(name).and_then(|value| Section::from_value(reader, path.clone(), value));
+        taken.unwrap_or(Section { path, line: None, entries: DeTable::new(), known_names: Vec::new() })
     }
 
-    /// The tables of a list of them, such as `[[endpoints]]`.
+    /// Reads an array of tables, such as `[[endpoints]]`.
     pub fn sections(&mut self, reader: &mut Reader, name: &'static str) -> Vec<Section<'i>> {
         let path = self.field(name);
-        let Some(taken) = self.take(name) else { return Vec::new() };
-        let line = reader.line(taken.span().start);
+        let Some(taken) = self.take_entry(name) else { return Vec::new() };
+        let line = reader.line_of(taken.span().start);
         match taken.into_inner() {
             DeValue::Array(entries) => (entries.into_iter().enumerate())
-                .filter_map(|(n, entry)| Section::of(reader, format!("{path}[{n}]"), entry))
+                .filter_map(|(n, entry)| Section::from_value(reader, format!("{path}[{n}]"), entry))
                 .collect(),
             other => {
                 let problem = format!("this is a {}", other.type_str());
-                reader.problem(Some(line), &path, &problem, &format!("a list of tables: [[{name}]]"));
+                reader.add_problem(Some(line), &path, &problem, &format!("a list of tables: [[{name}]]"));
                 Vec::new()
             }
         }
     }
 
-    fn of(reader: &mut Reader, path: String, value: Spanned<DeValue<'i>>) -> Option<Section<'i>> {
-        let line = reader.line(value.span().start);
+    fn from_value(reader: &mut Reader, path: String, value: Spanned<DeValue<'i>>) -> Option<Section<'i>> {
+        let line = reader.line_of(value.span().start);
         match value.into_inner() {
-            DeValue::Table(entries) => Some(Section { path, line: Some(line), entries, known: Vec::new() }),
+            DeValue::Table(entries) => {
+                Some(Section { path, line: Some(line), entries, known_names: Vec::new() })
+            }
             other => {
-                reader.problem(Some(line), &path, &format!("this is a {}", other.type_str()), "a table");
+                reader.add_problem(
+                    Some(line),
+                    &path,
+                    &format!("this is a {}", other.type_str()),
+                    "a table",
+                );
                 None
             }
         }
     }
 
-    /// The line that the table begins on.
+    /// The line on which the table starts; `None` for the file as a whole and for a missing table.
     pub fn line(&self) -> Option<usize> {
         self.line
     }
 
-    /// Its path.
+    /// The path of the table.
     pub fn path(&self) -> &str {
         &self.path
     }
 
-    /// Notes each entry that nobody has asked for.
+    /// Records each entry that was not read as an unknown field.
     pub fn finish(self, reader: &mut Reader) {
         for (key, _) in &self.entries {
-            let line = reader.line(key.span().start);
-            let allowed = self.known.join(", ");
-            reader.problem(Some(line), &self.field(key.get_ref()), "there is no such field", &allowed);
+            let line = reader.line_of(key.span().start);
+            let allowed = self.known_names.join(", ");
+            reader.add_problem(Some(line), &self.field(key.get_ref()), "there is no such field", &allowed);
         }
     }
 }
 
-/// A value as a person reads it.
-fn shown(value: &DeValue<'_>) -> String {
+/// Formats a value for an error message.
+fn display_value(value: &DeValue<'_>) -> String {
     match value {
         DeValue::String(text) => format!("`{text}`"),
         DeValue::Integer(number) => number.as_str().to_owned(),
--- a/crates/config/src/repeat.rs
+++ b/crates/config/src/repeat.rs
@@ -1,17 +1,18 @@
-//! Whether a request may run again, as files word it.
+//! Whether a request may be repeated, as configuration files state it.
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a class's requests may run again. The default is that of the lab's files; a sidecar's configuration takes a
-/// class that says nothing for one that never may.
+/// Whether requests of a class may run more than once. This default applies to the lab's files; in a
+/// sidecar's configuration a class without the key is `Never`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RepeatPolicy {
-    /// Any repeat is harmless: GET.
+    /// Repeats are harmless, as for GET.
     #[default]
     Safe,
-    /// Endpoints of a group drop repeats of a key for a while: POST with a key.
+    /// The endpoints of a group drop repeats of a key for a time window, as for POST with an idempotency
+    /// key.
     Keyed,
-    /// Never: POST.
+    /// A request must not be repeated, as for POST.
     Never,
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings object, as JSON, turned into the module's settings.
+//! Parses the platform's settings object, in JSON, into the settings of the balancing module.
 
 use curlewhub_balance::*;
 use serde::Deserialize;
@@ -6,26 +6,27 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// No time lies beyond this many milliseconds (over thirty years).
+/// The maximum of all times, in milliseconds (over thirty years).
 pub const MAX_MS: f64 = 1e12;
 
-/// What is wrong with a settings object.
+/// An error in a settings object.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("field `{field}`: {problem}")]
 pub struct SettingsProblem {
-    /// The field at fault, by its path.
+    /// The path of the invalid field.
     pub field: String,
     /// What is wrong with it.
     pub problem: String,
 }
 
-/// Milliseconds as a duration, to the microsecond.
+/// Converts milliseconds to a duration, rounded to the microsecond.
 pub fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_micros((ms * 1000.0).round() as u64)
 }
 
-// Names of classes, tenants, zones and kinds, and the family, tell a decision nothing and are left out on
-// purpose, as are the prices of what a balancer cannot do here: fleet, moves, origin, peer.
+// Decisions do not use the names of classes, tenants, zones and kinds, nor the family, so these are
+// deliberately not read. Neither are the prices of what a balancer can't do here: fleet, moves, origin,
+// peer.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Conf {
@@ -249,11 +250,12 @@
     1.0
 }
 
-/// Reads the settings object: the simulator's first message and the platform's configuration file carry
-/// the same one.
+/// Parses the settings object, which is the same in the simulator's first message and in the platform's
+/// configuration file.
 ///
 /// # Errors
-/// The first field, by its path from `conf` on, that is missing, no such thing or out of range.
+/// Returns the first field that is missing, of the wrong type or out of range, by its path, which starts
+/// with `conf`.
 pub fn parse_settings(text: &str) -> Result<Settings, SettingsProblem> {
     let error = |field: String, problem: String| SettingsProblem { field, problem };
     let mut json = serde_json::Deserializer::from_str(text);
--- a/crates/config/src/source.rs
+++ b/crates/config/src/source.rs
@@ -1,4 +1,4 @@
-//! Where the configuration came from, so that it can be read again.
+//! A loaded configuration with its source, so that it can be reloaded.
 
 use crate::config::{Config, LogSettings};
 use crate::list::Target;
@@ -17,14 +17,15 @@
     File(FileSource),
 }
 
-/// An operator's file as it was last taken, and what wins over it.
+/// An operator's file as it was last applied, and the overrides of its values.
 #[derive(Clone, Debug)]
 struct FileSource {
     path: PathBuf,
     text: String,
-    /// Flags and variables of this process.
+    /// From flags and environment variables of this process.
     overrides: Vec<Override>,
-    /// What its fleet has decided: that wins over all else, or it would not be in force.
+    /// From the fleet configuration. They take precedence over all others; otherwise a flag could keep a
+    /// decision of the fleet from taking effect.
     fleet: Vec<Override>,
 }
 
@@ -35,54 +36,54 @@
     }
 }
 
-/// A configuration in effect.
+/// The configuration in effect, and its source.
 #[derive(Debug)]
 pub struct LoadedConfig {
-    /// What holds.
+    /// The configuration.
     pub config: Config,
-    /// Each field with its origin; empty for the platform's form.
+    /// The value of each field and its origin; empty for the platform's format.
     pub effective: Vec<EffectiveValue>,
     source: Source,
 }
 
-/// What a reload changes while the process runs.
+/// The differences between two configurations: what changes at once, and what needs a restart.
 #[derive(Debug, Default, PartialEq)]
 pub struct ConfigChange {
-    /// Discovery is at another address.
+    /// The new address of the discovery service, if it changes.
     pub discovery: Option<SocketAddr>,
-    /// The static list is another one.
+    /// The new static endpoint list, if it changes.
     pub endpoints: Option<Vec<Target>>,
-    /// The log is to be written otherwise, by its level or lines a second.
+    /// The new log settings, if the level or the lines per second change.
     pub log: Option<LogSettings>,
-    /// Fields that differ and hold only after a restart.
+    /// Changed fields that take effect only after a restart.
     pub restart_fields: Vec<String>,
 }
 
 impl LoadedConfig {
-    /// As the platform tells it.
+    /// Loads the platform's file, which `ROUTER_CONFIG` names.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// Returns the first error of the file.
     pub fn from_platform() -> Result<LoadedConfig, Problems> {
         let (config, raw) = platform::from_env()?;
         Ok(LoadedConfig { config, effective: Vec::new(), source: Source::Platform(raw) })
     }
 
-    /// From an operator's file; the overrides win over it, a later one over an earlier one.
+    /// Loads an operator's file. Overrides take precedence over it, and a later one over an earlier one.
     ///
     /// # Errors
-    /// All that is wrong with it, in one go.
+    /// Returns all errors of the file and the overrides.
     pub fn from_file(path: &Path, overrides: Vec<Override>) -> Result<LoadedConfig, Problems> {
-        let (path, text, fleet) = (path.to_owned(), file::text(path)?, Vec::new());
+        let (path, text, fleet) = (path.to_owned(), file::read_text(path)?, Vec::new());
         let source = FileSource { path, text, overrides, fleet };
         let (config, effective) = source.parse()?;
         Ok(LoadedConfig { config, effective, source: Source::File(source) })
     }
 
-    /// Reads it again. Where the new one is wrong the old one stays.
+    /// Reads the source again. An invalid configuration changes nothing.
     ///
     /// # Errors
-    /// What is wrong with the new one.
+    /// Returns the errors of the new configuration.
     pub fn reload(&mut self) -> Result<ConfigChange, Problems> {
         match &self.source {
             Source::Platform(old) => {
@@ -92,67 +93,71 @@
                 Ok(ConfigChange { discovery, restart_fields, ..ConfigChange::default() })
             }
             Source::File(source) => {
-                let source = FileSource { text: file::text(&source.path)?, ..source.clone() };
+                let source = FileSource { text: file::read_text(&source.path)?, ..source.clone() };
                 let (new, effective) = source.parse()?;
-                Ok(self.take(source, new, effective))
+                Ok(self.replace(source, new, effective))
             }
         }
     }
 
-    /// Takes over what the fleet has decided, in place of what it had decided before. Where it is refused, nothing changes.
+    /// Applies the values that the fleet has decided; they replace all earlier ones. If one is refused,
+    /// nothing changes.
     ///
     /// # Errors
-    /// All that is wrong with it; with the platform's form, that there is no fleet.
+    /// Returns all errors. With the platform's format every field is refused: it has no fleet.
     pub fn apply_fleet_values(
         &mut self,
         values: &BTreeMap<String, String>,
     ) -> Result<ConfigChange, Problems> {
         let mut problems = live::problems(values);
         let Source::File(source) = &self.source else {
-            return Err(Problems(values.keys().map(|field| live::not_live(field)).collect()));
+            return Err(Problems(values.keys().map(|field| live::not_live_problem(field)).collect()));
         };
         if !problems.is_empty() {
             return Err(Problems(problems));
         }
         let fleet = live::overrides(values);
         if fleet == source.fleet {
-            return Ok(ConfigChange::default()); // no file is read anew for what another zone is told
+            return Ok(ConfigChange::default()); // the change is for another zone
         }
         let source = FileSource { fleet, ..source.clone() };
         let (new, effective) = source.parse()?;
         problems.extend(
-            self.change_to(&new, &effective).restart_fields.iter().map(|field| live::not_here(field)),
+            self.changes_to(&new, &effective)
+                .restart_fields
+                .iter()
+                .map(|field| live::needs_restart_problem(field)),
         );
         if !problems.is_empty() {
             return Err(Problems(problems));
         }
-        Ok(self.take(source, new, effective))
+        Ok(self.replace(source, new, effective))
     }
 
-    fn take(&mut self, source: FileSource, new: Config, effective: Vec<EffectiveValue>) -> ConfigChange {
-        let change = self.change_to(&new, &effective);
-        // Both are for a start alone, and a new seed is no change.
+    fn replace(&mut self, source: FileSource, new: Config, effective: Vec<EffectiveValue>) -> ConfigChange {
+        let change = self.changes_to(&new, &effective);
         (self.config, self.effective, self.source) = (new, effective, Source::File(source));
         change
     }
 
-    fn change_to(&self, new: &Config, effective: &[EffectiveValue]) -> ConfigChange {
+    fn changes_to(&self, new: &Config, effective: &[EffectiveValue]) -> ConfigChange {
         let old = &self.config;
         let is_static = new.discovery.is_none() && old.discovery.is_none();
-        let lives = |field: &str| match field {
+        let applies_at_once = |field: &str| match field {
+            // The seed is used only at the start: a newly drawn one is no change.
             "seed" => true,
             "log.level" | "log.per_second" => true,
             "discovery.address" => old.discovery.is_some() == new.discovery.is_some(),
             field => is_static && field.starts_with("endpoints["),
         };
-        let differs = |from: &[EffectiveValue], to: &[EffectiveValue]| {
+        let changed_fields = |from: &[EffectiveValue], to: &[EffectiveValue]| {
             let values: HashMap<&str, &Value> = to.iter().map(|e| (e.field.as_str(), &e.value)).collect();
             let same = |e: &&EffectiveValue| values.get(e.field.as_str()) == Some(&&e.value);
-            let changed = from.iter().filter(|e| !lives(&e.field) && !same(e));
+            let changed = from.iter().filter(|e| !applies_at_once(&e.field) && !same(e));
             changed.map(|e| e.field.clone()).collect::<Vec<_>>()
         };
-        let mut restart_fields = differs(effective, &self.effective);
-        restart_fields.extend(differs(&self.effective, effective));
+        let mut restart_fields = changed_fields(effective, &self.effective);
+        restart_fields.extend(changed_fields(&self.effective, effective));
         restart_fields.sort();
         restart_fields.dedup();
         ConfigChange {
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,11 +1,11 @@
-//! Times and sizes with their units, as an operator writes them.
+//! Durations and sizes, written with their units.
 
 use bytesize::ByteSize;
 use serde::de::{Error, Unexpected};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::time::Duration;
 
-/// A time, written with its unit: `250ms`, `1.2s`, `2min`.
+/// A duration, written with its unit: `250ms`, `1.2s`, `2min`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub Duration);
 
@@ -16,9 +16,9 @@
 impl<'de> Deserialize<'de> for Span {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let text = String::deserialize(from)?;
-        let wanted = &"a time with its unit, such as 250ms or 1.2s";
+        let expected = &"a time with its unit, such as 250ms or 1.2s";
         let span = humantime::parse_duration(&text);
-        span.map(Span).map_err(|_| D::Error::invalid_value(Unexpected::Str(&text), wanted))
+        span.map(Span).map_err(|_| D::Error::invalid_value(Unexpected::Str(&text), expected))
     }
 }
 
@@ -31,10 +31,12 @@
 impl<'de> Deserialize<'de> for Size {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let text = String::deserialize(from)?;
-        let wanted = &"a size with its unit, such as 64KiB or 192MiB";
-        // bytesize takes a bare number for bytes; whoever leaves the unit out may have meant any.
+        let expected = &"a size with its unit, such as 64KiB or 192MiB";
+        // bytesize reads a bare number as bytes. It is rejected here: the author may have meant another
+        // unit.
         let size = text.parse::<ByteSize>().ok().filter(|_| text.ends_with(|c: char| c.is_alphabetic()));
-        size.map(|size| Size(size.0)).ok_or_else(|| D::Error::invalid_value(Unexpected::Str(&text), wanted))
+        size.map(|size| Size(size.0))
+            .ok_or_else(|| D::Error::invalid_value(Unexpected::Str(&text), expected))
     }
 }
 
--- a/crates/config/tests/file.rs
+++ b/crates/config/tests/file.rs
@@ -1,4 +1,4 @@
-//! The operators' file: what it is turned into, and what is said of a wrong one.
+//! Parsing of the operators' file: the resulting configuration, and the problems reported for invalid files.
 
 use curlewhub_balance::{DeduplicationScope, Discovery, Semantics, ZoneId};
 use curlewhub_config::list::TargetState;
@@ -6,8 +6,8 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// The least that starts.
-const LEAST: &str = r#"
+/// The smallest valid file.
+const MINIMAL: &str = r#"
 listen = "127.0.0.1:7070"
 [[endpoints]]
 id = "a"
@@ -27,12 +27,12 @@
     }
 }
 
-fn over(field: &str, text: &str, origin: &str) -> Override {
+fn override_of(field: &str, text: &str, origin: &str) -> Override {
     Override { field: field.to_owned(), text: text.to_owned(), origin: origin.to_owned() }
 }
 
 #[test]
-fn the_example_is_valid_and_says_the_defaults() {
+fn the_example_is_valid_and_states_the_defaults() {
     let (config, effective) = parse(file::EXAMPLE).unwrap();
     assert_eq!((config.name.as_str(), config.memory_mb, config.sockets), ("shop", 192, 1024));
     assert_eq!((config.settings.zone, config.settings.zones), (ZoneId(0), 3));
@@ -51,16 +51,16 @@
             continue;
         };
         let field = format!("{section}{name}");
-        let Some(found) = effective.iter().find(|e| e.field == field) else { continue };
+        let Some(value) = effective.iter().find(|e| e.field == field) else { continue };
         if name == "state_dir" {
             continue; // $TMPDIR
         }
         let stated = rest.split('#').next().unwrap().trim();
         let (with, _) =
-            file::parse("x", file::EXAMPLE, &[over(&field, stated.trim_matches('"'), "x")]).unwrap();
+            file::parse("x", file::EXAMPLE, &[override_of(&field, stated.trim_matches('"'), "x")]).unwrap();
         let (without, _) = parse(file::EXAMPLE).unwrap();
         assert_eq!(with.settings, without.settings, "{field}");
-        assert_eq!(found.origin, "default", "{field}");
+        assert_eq!(value.origin, "default", "{field}");
         checked += 1;
     }
     assert!(checked >= 20, "{checked}");
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn what_does_not_go_together_is_told() {
+fn inconsistent_or_invalid_fields_are_reported() {
     for (change, want) in [
         (("listen = \"127.0.0.1:7070\"", ""), "listen: missing; allowed: an address and port"),
         (("listen =", "operator = \"127.0.0.1:7070\"\nlisten ="), "the same address as `listen`"),
@@ -129,19 +129,19 @@
         (("id = \"a\"", "id = a"), "shop.toml:4: "),
         (("[[endpoints]]\nid = \"a\"\naddress = \"127.0.0.1:9001\"", ""), "there is nowhere to send to"),
     ] {
-        let text = LEAST.replacen(change.0, change.1, 1);
-        assert_ne!(text, LEAST, "{want}");
+        let text = MINIMAL.replacen(change.0, change.1, 1);
+        assert_ne!(text, MINIMAL, "{want}");
         let found = problems(&text);
         assert!(found.iter().any(|problem| problem.contains(want)), "{want}: {found:#?}");
     }
-    assert_eq!(problems(LEAST), [""; 0]);
+    assert_eq!(problems(MINIMAL), [""; 0]);
 }
 
 #[test]
-fn a_flag_wins_over_a_variable_and_that_over_the_file_and_each_says_so() {
-    let text = LEAST.replacen("listen", "name = \"file\"\nlisten", 1);
-    let env = over("name", "env", "$ROUTER_NAME");
-    let flag = over("name", "flag", "--name");
+fn flags_override_variables_which_override_the_file_and_origins_are_recorded() {
+    let text = MINIMAL.replacen("listen", "name = \"file\"\nlisten", 1);
+    let env = override_of("name", "env", "$ROUTER_NAME");
+    let flag = override_of("name", "flag", "--name");
     for (overrides, want, origin) in [
         (vec![], "file", "shop.toml:2"),
         (vec![env.clone()], "env", "$ROUTER_NAME"),
@@ -152,18 +152,18 @@
         let found = effective.iter().find(|e| e.field == "name").unwrap();
         assert_eq!((found.value.as_str(), found.origin.as_str()), (Some(want), origin));
     }
-    let json = over("log.format", "json", "--log-format");
-    let sockets = over("limits.sockets", "512", "--set limits.sockets");
+    let json = override_of("log.format", "json", "--log-format");
+    let sockets = override_of("limits.sockets", "512", "--set limits.sockets");
     let (config, _) = file::parse("shop.toml", &text, &[json, sockets]).unwrap();
     assert_eq!((config.log.format, config.sockets), (LogFormat::Json, 512));
     for (bad, want) in [
-        (over("listen", "nowhere", "$ROUTER_LISTEN"), "$ROUTER_LISTEN: listen: "),
+        (override_of("listen", "nowhere", "$ROUTER_LISTEN"), "$ROUTER_LISTEN: listen: "),
         (
-            over("limits.sockets", "3", "--set limits.sockets"),
+            override_of("limits.sockets", "3", "--set limits.sockets"),
             "--set limits.sockets: limits.sockets: `3` is",
         ),
         (
-            over("limits.colour", "3", "--set limits.colour"),
+            override_of("limits.colour", "3", "--set limits.colour"),
             "--set limits.colour: limits.colour: there is no",
         ),
     ] {
@@ -173,21 +173,21 @@
 }
 
 #[test]
-fn a_reload_tells_what_lives_and_what_needs_a_restart_and_keeps_the_old_one_where_it_is_wrong() {
+fn a_reload_reports_live_and_restart_changes_and_an_invalid_file_changes_nothing() {
     let path = std::env::temp_dir().join(format!("curlewhub-config-{}.toml", std::process::id()));
     let write = |text: &str| std::fs::write(&path, text).unwrap();
-    write(LEAST);
+    write(MINIMAL);
     let mut loaded = LoadedConfig::from_file(&path, Vec::new()).unwrap();
-    assert_eq!(loaded.reload().unwrap(), Default::default(), "a new seed is no change");
-    write(&(LEAST.to_owned() + "[[endpoints]]\nid = \"b\"\naddress = \"127.0.0.1:9002\"\n"));
+    assert_eq!(loaded.reload().unwrap(), Default::default(), "a newly drawn seed is no change");
+    write(&(MINIMAL.to_owned() + "[[endpoints]]\nid = \"b\"\naddress = \"127.0.0.1:9002\"\n"));
     let change = loaded.reload().unwrap();
     let uids: Vec<_> = change.endpoints.unwrap().iter().map(|t| (t.uid.clone(), t.state)).collect();
     assert_eq!(uids, [("a".to_owned(), TargetState::Up), ("b".to_owned(), TargetState::Up)]);
     assert_eq!((change.discovery, change.restart_fields.len()), (None, 0));
     write("listen = 7");
     assert!(loaded.reload().is_err());
-    assert_eq!(loaded.config.initial_list.targets.len(), 2, "the old one stays");
-    write(&LEAST.replacen("listen", "name = \"new\"\nlisten", 1).replacen("quote", "offer", 1));
+    assert_eq!(loaded.config.initial_list.targets.len(), 2, "an invalid file changes nothing");
+    write(&MINIMAL.replacen("listen", "name = \"new\"\nlisten", 1).replacen("quote", "offer", 1));
     let change = loaded.reload().unwrap();
     assert_eq!(change.restart_fields, ["classes[0].name", "name"]);
     assert_eq!(change.endpoints.map(|list| list.len()), Some(1));
@@ -196,14 +196,14 @@
 
 proptest! {
     #[test]
-    fn no_text_makes_it_panic_and_every_problem_is_one_line(text in "[a-z\\[\\]=\".0-9 \n#{},-]{0,200}") {
+    fn parsing_any_text_never_panics_and_every_problem_is_one_line(text in "[a-z\\[\\]=\".0-9 \n#{},-]{0,200}") {
         for problem in problems(&text) {
             prop_assert_eq!(problem.lines().count(), 1);
         }
     }
 
     #[test]
-    fn the_example_cut_or_changed_anywhere_is_read_or_told(at in 0..file::EXAMPLE.len(), byte in 32..127u8) {
+    fn parsing_a_truncated_or_altered_example_never_panics(at in 0..file::EXAMPLE.len(), byte in 32..127u8) {
         let mut changed = file::EXAMPLE.as_bytes().to_vec();
         changed[at] = byte;
         let changed = String::from_utf8_lossy(&changed).into_owned();
@@ -214,14 +214,14 @@
 }
 
 #[test]
-fn a_fleet_is_off_without_its_section_and_what_is_wrong_in_it_is_named() {
-    assert_eq!(parse(LEAST).unwrap().0.fleet, None);
+fn fleet_is_none_without_its_section_and_its_invalid_fields_are_reported() {
+    assert_eq!(parse(MINIMAL).unwrap().0.fleet, None);
     let fleet = "[fleet]\nlisten = \"127.0.0.1:7411\"\nkey = { number = 1, file = \"k\" }\n\
                  keepers = [{ id = 1, name = \"a\", address = \"127.0.0.1:7401\" }]\n";
-    let (config, _) = parse(&format!("{LEAST}{fleet}")).unwrap();
-    let held = config.fleet.unwrap();
+    let (config, _) = parse(&format!("{MINIMAL}{fleet}")).unwrap();
+    let fleet_config = config.fleet.unwrap();
     assert_eq!(
-        (held.name, held.state_dir, held.consensus_servers.len()),
+        (fleet_config.name, fleet_config.state_dir, fleet_config.consensus_servers.len()),
         (config.name, config.state_dir, 1)
     );
     let cases = [
@@ -243,11 +243,12 @@
         ("listen", "lisen", "lisen"),
     ];
     for (from, to, wanted) in cases {
-        let said = problems(&format!("{LEAST}{}", fleet.replace(from, to)));
-        assert!(said.iter().any(|problem| problem.contains(wanted)), "{wanted}: {said:?}");
+        let reported = problems(&format!("{MINIMAL}{}", fleet.replace(from, to)));
+        assert!(reported.iter().any(|problem| problem.contains(wanted)), "{wanted}: {reported:?}");
     }
-    // The example's own, put in force.
+    // The example's commented-out section, put in force, is valid.
     let example = file::EXAMPLE;
-    let on = example[example.find("# [fleet]").unwrap()..].replace("\n# ", "\n").replacen("# ", "", 1);
-    assert!(parse(&format!("{LEAST}{on}")).unwrap().0.fleet.is_some());
+    let fleet_section =
+        example[example.find("# [fleet]").unwrap()..].replace("\n# ", "\n").replacen("# ", "", 1);
+    assert!(parse(&format!("{MINIMAL}{fleet_section}")).unwrap().0.fleet.is_some());
 }
--- a/crates/config/tests/live.rs
+++ b/crates/config/tests/live.rs
@@ -1,4 +1,5 @@
-//! Settings that a fleet decides and a running sidecar takes: over its file and its flags, or refused with all reasons.
+//! Settings that the fleet decides and a running sidecar applies. They override its file and its flags. If
+//! they are refused, all reasons are stated.
 
 use curlewhub_config::{LoadedConfig, Override, live};
 use std::collections::BTreeMap;
@@ -20,14 +21,14 @@
 }
 
 #[test]
-fn what_the_fleet_decides_wins_over_flags_stays_over_a_reload_and_goes_when_it_is_taken_back() {
+fn fleet_values_override_flags_survive_a_reload_and_end_when_withdrawn() {
     let flag = Override { field: "log.level".into(), text: "warn".into(), origin: "--log-level".into() };
     let (file, mut loaded) = loaded(&format!("{FILE}{DISCOVERY}"), vec![flag]);
     let decided = values(&[("log.level", "debug"), ("discovery.address", "127.0.0.1:8501")]);
     let change = loaded.apply_fleet_values(&decided).unwrap();
     assert_eq!(change.discovery, Some("127.0.0.1:8501".parse().unwrap()));
     assert_eq!(change.log.map(|log| log.level).as_deref(), Some("debug"));
-    // The file has changed meanwhile: that holds from its own reload on, and not before.
+    // The file has changed meanwhile. The change takes effect with the next reload, and not before.
     std::fs::write(file.path(), format!("name = \"other\"\n{FILE}{DISCOVERY}")).unwrap();
     let change = loaded.apply_fleet_values(&decided).unwrap();
     assert_eq!((change.discovery, change.log, change.restart_fields.len()), (None, None, 0));
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn what_this_build_or_this_file_can_not_take_is_refused_whole_and_changes_nothing() {
+fn one_refused_fleet_value_refuses_all_and_changes_nothing() {
     let (_file, mut loaded) = loaded(&format!("{FILE}{ENDPOINT}"), Vec::new());
     let before = loaded.config.clone();
     let cases = [
--- a/crates/config/tests/stored_forms.rs
+++ b/crates/config/tests/stored_forms.rs
@@ -14,7 +14,7 @@
     serde_json::to_string(value).unwrap()
 }
 
-/// The names of all fields in JSON, by their path; those of list entries without a number.
+/// Collects the paths of all fields in JSON; the entries of a list share one path.
 fn field_names(value: &serde_json::Value, at: &str, names: &mut BTreeSet<String>) {
     match value {
         serde_json::Value::Object(fields) => fields.iter().for_each(|(name, value)| {
@@ -38,15 +38,15 @@
     let written: Vec<_> = effective.iter().map(|e| (e.field.as_str(), json(e))).collect();
     assert_same("full_effective.txt", &written);
     let defaults: Vec<_> = written.iter().filter(|(_, json)| json.contains("\"default\"")).collect();
-    assert!(defaults.is_empty(), "the file is to set each key: {defaults:?}");
+    assert!(defaults.is_empty(), "the file has to set each key: {defaults:?}");
 }
 
 #[test]
 fn the_example_sets_and_leaves_out_the_same_keys() {
     let (_, effective) = file::parse("example.toml", file::EXAMPLE, &[]).unwrap();
     let here = |e: &&curlewhub_config::EffectiveValue| e.field != "state_dir"; // $TMPDIR
-    let said = |e: &curlewhub_config::EffectiveValue| format!("{} {}", e.value, e.origin == "default");
-    let written: Vec<_> = effective.iter().filter(here).map(|e| (e.field.as_str(), said(e))).collect();
+    let result = |e: &curlewhub_config::EffectiveValue| format!("{} {}", e.value, e.origin == "default");
+    let written: Vec<_> = effective.iter().filter(here).map(|e| (e.field.as_str(), result(e))).collect();
     assert_same("example_effective.txt", &written);
 }
 
@@ -84,7 +84,8 @@
     assert_same("deployment.txt", &written);
 }
 
-/// The platform's settings: what each key sets shows in the structure, whose values are compared and not its names.
+/// Each key of the platform's settings is left out in turn. The values in the structure's debug output are
+/// compared, not its names, which may be changed.
 #[test]
 fn each_key_of_the_platforms_settings_sets_the_same_value() {
     let full: serde_json::Value = serde_json::from_str(&text("platform_settings.json")).unwrap();
@@ -99,23 +100,23 @@
     let mut written = vec![("full".to_owned(), values(&full))];
     for pointer in leaves(&full, "") {
         let mut without = full.clone();
-        take(&mut without, &pointer);
-        let said = match parse_settings(&without.to_string()) {
+        remove(&mut without, &pointer);
+        let result = match parse_settings(&without.to_string()) {
             Ok(_) if values(&without) == written[0].1 => "no difference".to_owned(),
             Ok(_) => values(&without),
             Err(e) => e.to_string(),
         };
-        written.push((pointer, said));
+        written.push((pointer, result));
     }
     assert_same("platform_settings.txt", &written);
 }
 
-/// A number, a time or a truth value, not a name.
+/// Whether a part is a number, a duration or a boolean, and not a name.
 fn is_value(part: &str) -> bool {
     part.starts_with(|c: char| c.is_ascii_digit() || c == '-') || part == "true" || part == "false"
 }
 
-/// JSON pointers to all fields, those that hold others included.
+/// JSON pointers to all fields, including those that contain others.
 fn leaves(value: &serde_json::Value, at: &str) -> Vec<String> {
     let entries: Vec<(String, &serde_json::Value)> = match value {
         serde_json::Value::Object(fields) => {
@@ -134,7 +135,7 @@
     entries.into_iter().flat_map(each).collect()
 }
 
-fn take(value: &mut serde_json::Value, pointer: &str) {
+fn remove(value: &mut serde_json::Value, pointer: &str) {
     let (parent, name) = pointer.rsplit_once('/').unwrap();
     value.pointer_mut(parent).unwrap().as_object_mut().unwrap().remove(name);
 }
