--- a/crates/adapter/src/fields.rs
+++ b/crates/adapter/src/fields.rs
@@ -1,12 +1,12 @@
-//! The fields of one line, read from left to right; each error names its line and field.
+//! Reads the fields of one line from left to right. Each error names its line and field.
 
 use crate::WireError;
 use curlewhub_balance::Outcome;
-use curlewhub_config::settings::{MAX_MS, duration};
+use curlewhub_config::settings::{MAX_MS, duration_from_ms};
 use std::str::{FromStr, Split};
 use std::time::Duration;
 
-/// The fields of a line that are not read yet.
+/// The fields of a line that have not been read yet.
 pub(crate) struct Fields<'a> {
     pub(crate) line: u64,
     remaining: Split<'a, char>,
@@ -33,8 +33,13 @@
         Ok(Some(self.text(field)?).filter(|text| *text != "-"))
     }
 
-    pub(crate) fn parsed<T: FromStr>(&self, field: &str, text: &str, wanted: &str) -> Result<T, WireError> {
-        text.parse().map_err(|_| self.error(field, format!("`{text}` is not {wanted}")))
+    pub(crate) fn parsed<T: FromStr>(
+        &self,
+        field: &str,
+        text: &str,
+        expected: &str,
+    ) -> Result<T, WireError> {
+        text.parse().map_err(|_| self.error(field, format!("`{text}` is not {expected}")))
     }
 
     pub(crate) fn integer<T: FromStr>(&mut self, field: &str) -> Result<T, WireError> {
@@ -71,7 +76,7 @@
         if !(0.0..=MAX_MS).contains(&value) {
             return Err(self.error(field, format!("`{text}` is out of range")));
         }
-        Ok(duration(value))
+        Ok(duration_from_ms(value))
     }
 
     pub(crate) fn time(&mut self, field: &str) -> Result<Duration, WireError> {
@@ -87,12 +92,12 @@
         Ok(match self.text(field)? {
             "200" => Outcome::Ok,
             "502" => Outcome::Error,
-            "429" => Outcome::Full,
+            "429" => Outcome::Rejected,
             "408" => Outcome::TimedOut,
             "521" => Outcome::ConnectFailed,
             "520" => Outcome::Reset,
             "444" => Outcome::Cancelled,
-            "409" => Outcome::Moot,
+            "409" => Outcome::NotSent,
             other => return Err(self.error(field, format!("`{other}` is no known outcome"))),
         })
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a sidecar is told: one validated structure, whichever file it was read from.
+//! The configuration of a sidecar: one validated structure, whichever file format it was read from.
 //!
 //! Operators write a TOML file ([`mod@file`]); the platform writes JSON ([`platform`]). Both become a
-//! [`Config`], and both are held to the module's own ranges (`Settings::problems`).
+//! [`Config`], and both are checked against the ranges of the balancing module (`Settings::problems`).
 
 mod config;
 pub mod file;
@@ -16,8 +16,8 @@
 mod source;
 pub mod units;
 
-pub use config::{Config, LEAST_SOCKETS, Log, LogFormat, Named, Names};
+pub use config::{Config, LogFormat, LogSettings, MIN_SOCKETS, Named, Names};
 pub use problem::{Problem, Problems};
-pub use reader::{Effective, Override};
-pub use repeat::Repeat;
-pub use source::{Change, Loaded};
+pub use reader::{EffectiveValue, Override};
+pub use repeat::RepeatPolicy;
+pub use source::{ConfigChange, LoadedConfig};
--- a/crates/curlewhub/src/member.rs
+++ b/crates/curlewhub/src/member.rs
@@ -3,7 +3,7 @@
 
 use crate::fleet::AppliedViewLog;
 use crate::reload::Reloader;
-use curlewhub_balance::{ClassId, Outcome, ZoneId, ZoneRight};
+use curlewhub_balance::{ClassId, Outcome, ZoneAdmission, ZoneId};
 use curlewhub_config::Config;
 use curlewhub_control_plane::applied::AppliedRecords;
 use curlewhub_control_plane::configuration::SettingValues;
@@ -15,7 +15,7 @@
 use curlewhub_runtime::call_observer::{AttemptId, CallObserver, NoObserver};
 use curlewhub_runtime::clock::Clock;
 use curlewhub_runtime::events::Command;
-use curlewhub_runtime::figures::{Beside, Figures};
+use curlewhub_runtime::figures::{ExternalMetric, Metrics};
 use curlewhub_zone_failover::zone_policy::ZoneAccess;
 use curlewhub_zone_failover::zone_states::tier_zone;
 use std::cell::RefCell;
@@ -55,9 +55,9 @@
             Outcome::Ok => CallOutcome::Served,
             Outcome::TimedOut => CallOutcome::TimedOut,
             Outcome::ConnectFailed | Outcome::Reset => CallOutcome::Unreachable,
-            Outcome::Full => CallOutcome::Rejected,
+            Outcome::Rejected => CallOutcome::Rejected,
             Outcome::Error => CallOutcome::Failed,
-            Outcome::Cancelled | Outcome::Moot | Outcome::LocalFault => CallOutcome::Cancelled,
+            Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFault => CallOutcome::Cancelled,
         };
         self.recorder.borrow_mut().call_finished(call_id(attempt), outcome, elapsed);
     }
@@ -74,7 +74,7 @@
 
 /// Puts decisions of the consensus servers into force in this sidecar, and reports its standing in the figures.
 struct DecisionHandler {
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     commands: UnboundedSender<Command>,
     clock: Clock,
     /// The names of the zones, by zone id.
@@ -98,16 +98,16 @@
     }
 
     /// The access to a zone as the balancer takes it. `now` is the time on the clock of the decision.
-    fn zone_right(&self, now: Duration, access: ZoneAccess) -> ZoneRight {
+    fn zone_right(&self, now: Duration, access: ZoneAccess) -> ZoneAdmission {
         match access {
-            ZoneAccess::Open => ZoneRight::Open,
-            ZoneAccess::Share(share) => ZoneRight::Part(share),
+            ZoneAccess::Open => ZoneAdmission::Open,
+            ZoneAccess::Share(share) => ZoneAdmission::Fraction(share),
             // The same instant on the balancer's clock; both are monotonic.
             ZoneAccess::Rate(per_s, until) => {
-                ZoneRight::Rate { per_s, until: self.clock.now() + until.saturating_sub(now) }
+                ZoneAdmission::Rate { per_s, until: self.clock.now() + until.saturating_sub(now) }
             }
-            ZoneAccess::Closed => ZoneRight::Closed,
-            ZoneAccess::Unreachable => ZoneRight::Dark,
+            ZoneAccess::Closed => ZoneAdmission::Closed,
+            ZoneAccess::Unreachable => ZoneAdmission::Unreachable,
         }
     }
 
@@ -173,8 +173,8 @@
 
     fn status_changed(&mut self, status: SubscriberStatus) {
         let (sent_bytes, received_bytes) = status.traffic;
-        let gauge = |name, value| Beside { name, value, counts: false };
-        let count = |name, value| Beside { name, value, counts: true };
+        let gauge = |name, value| ExternalMetric { name, value, is_counter: false };
+        let count = |name, value| ExternalMetric { name, value, is_counter: true };
         let mut figures = vec![gauge("fleet_version", status.version)];
         // Without a message of a consensus server since the start the age is unknown.
         figures.extend(status.age.map(|age| gauge("fleet_age_ms", age.as_millis() as u64)));
@@ -195,7 +195,7 @@
             count("fleet_heard_messages", self.messages.messages_in),
             count("fleet_lost_messages", self.lost_messages),
         ]);
-        self.figures.beside(figures);
+        self.figures.set_external(figures);
     }
 }
 
@@ -235,7 +235,7 @@
 /// Joins the fleet of the configuration, if there is one. A sidecar serves also if that fails.
 pub fn join(
     config: &Config,
-    figures: &Rc<Figures>,
+    figures: &Rc<Metrics>,
     commands: &UnboundedSender<Command>,
     clock: Clock,
     reloader: Rc<Reloader>,
@@ -247,7 +247,7 @@
             subscriber: None,
         };
     };
-    let (areas, tier) = (&config.names.areas, config.settings.tier);
+    let (areas, tier) = (&config.names.zones, config.settings.tier);
     let own_zone = areas.get(config.settings.zone.0 as usize).map_or("", |zone| zone);
     let zones: Vec<String> = areas.iter().map(|zone| tier_zone(zone, tier)).collect();
     let recorder = Rc::new(RefCell::new(CallRecorder::new(own_zone, zones.clone())));
--- a/crates/curlewhub/src/reload.rs
+++ b/crates/curlewhub/src/reload.rs
@@ -1,10 +1,10 @@
 //! Configuration changes while a sidecar serves: from its file at SIGHUP, and from the fleet view.
 
 use crate::logs::{LogControl, levels};
-use curlewhub_config::{Change, Loaded};
+use curlewhub_config::{ConfigChange, LoadedConfig};
 use curlewhub_control_plane::configuration::SettingValues;
 use curlewhub_runtime::events::Call;
-use curlewhub_runtime::figures::Figures;
+use curlewhub_runtime::figures::Metrics;
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedSender;
@@ -12,8 +12,8 @@
 
 /// Owns the configuration in force and passes changes on to discovery and the log.
 pub struct Reloader {
-    loaded: RefCell<Loaded>,
-    figures: Rc<Figures>,
+    loaded: RefCell<LoadedConfig>,
+    figures: Rc<Metrics>,
     calls: UnboundedSender<Call>,
     log: LogControl,
 }
@@ -21,8 +21,8 @@
 impl Reloader {
     /// Starts with the configuration that the sidecar was started with.
     pub fn new(
-        loaded: Loaded,
-        figures: Rc<Figures>,
+        loaded: LoadedConfig,
+        figures: Rc<Metrics>,
         calls: UnboundedSender<Call>,
         log: LogControl,
     ) -> Rc<Reloader> {
@@ -34,11 +34,11 @@
         let reloaded = self.loaded.borrow_mut().reload();
         match reloaded {
             Ok(change) => {
-                self.figures.reconfigured(true);
+                self.figures.record_reconfiguration(true);
                 self.apply(change);
             }
             Err(problems) => {
-                self.figures.reconfigured(false);
+                self.figures.record_reconfiguration(false);
                 for problem in &problems.0 {
                     error!(%problem, "reload");
                 }
@@ -56,13 +56,13 @@
         if let Some(level) = values.get("log.level") {
             levels(level).map_err(|error| format!("log.level: {error}"))?;
         }
-        let change = self.loaded.borrow_mut().take_fleet(values);
+        let change = self.loaded.borrow_mut().apply_fleet_values(values);
         self.apply(change.map_err(|problems| problems.to_string())?);
         Ok(())
     }
 
-    fn apply(&self, change: Change) {
-        let Change { discovery, endpoints, log, restart } = change;
+    fn apply(&self, change: ConfigChange) {
+        let ConfigChange { discovery, endpoints, log, restart_fields } = change;
         let address = discovery.map(|address| address.to_string());
         info!(discovery = address, endpoints = endpoints.as_ref().map(Vec::len), "reloaded");
         if let Some(log) = log
@@ -70,8 +70,8 @@
         {
             warn!(problem = %error, "reload: log settings not changed");
         }
-        if !restart.is_empty() {
-            warn!(fields = restart.join(", "), "reload: changes that need a restart");
+        if !restart_fields.is_empty() {
+            warn!(fields = restart_fields.join(", "), "reload: changes that need a restart");
         }
         // Sending fails only while the process ends.
         if let Some(address) = discovery {
--- a/crates/curlewhub/src/serve.rs
+++ b/crates/curlewhub/src/serve.rs
@@ -7,15 +7,15 @@
 use crate::member::{self, FleetMembership};
 use crate::reload::Reloader;
 use curlewhub_balance::Balancer;
-use curlewhub_config::{Config, Loaded};
-use curlewhub_connection_quota::Terms;
+use curlewhub_config::{Config, LoadedConfig};
+use curlewhub_connection_quota::QuotaSettings;
 use curlewhub_runtime::budget::Budget;
 use curlewhub_runtime::clock::Clock;
 use curlewhub_runtime::discovery::Discovery;
 use curlewhub_runtime::driver::{Driver, Parts};
 use curlewhub_runtime::endpoint_bans::EndpointBans;
 use curlewhub_runtime::events::{Call, Command, Commands, Inbox, Input};
-use curlewhub_runtime::figures::Figures;
+use curlewhub_runtime::figures::Metrics;
 use curlewhub_runtime::handover::protocol::Connection;
 use curlewhub_runtime::handover::{self, HandedOver, Handover};
 use curlewhub_runtime::idempotency_keys::IdempotencyKeys;
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 /// What kept the sidecar from starting, or what ended it.
-pub async fn run(loaded: Loaded, counts: Counts, log: LogControl) -> Result<(), ServeError> {
+pub async fn run(loaded: LoadedConfig, counts: Counts, log: LogControl) -> Result<(), ServeError> {
     let signals = Signals::install()?;
     let base = Base::new(&loaded.config)?;
     // First of all: an operator is owed an answer from the start on.
@@ -70,7 +70,7 @@
     clock: Clock,
     balancer: Balancer,
     budget: Rc<Budget>,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     lifecycle: Rc<Lifecycle>,
     handover: Rc<Handover>,
     commands: Commands,
@@ -82,7 +82,7 @@
         let clock = Clock::start();
         let balancer = Balancer::new(config.settings.clone(), config.seed, clock.now())?;
         let budget = Budget::new(config.sockets, config.memory_mb);
-        let figures = Figures::new(config.names.classes.iter().map(|class| class.name.clone()));
+        let figures = Metrics::new(config.names.classes.iter().map(|class| class.name.clone()));
         let lifecycle = Lifecycle::new(longest_deadline(config));
         let (commands, command_queue) = mpsc::unbounded_channel();
         let handover = Handover::new(
@@ -126,14 +126,14 @@
     async fn open(config: &Config, handover: &Rc<Handover>) -> Result<Self, ServeError> {
         const HINT: &str = "; `--replace` takes over from a curlewhub that serves there";
         let bans = EndpointBans::load(&config.state_dir, config.listen);
-        let handed_over = if config.replaces { handover.take_over().await } else { None };
+        let handed_over = if config.may_take_over { handover.take_over().await } else { None };
         let (listener, predecessor) = match handed_over {
             Some(HandedOver { listener, bans: uids, connection }) => {
                 bans.replace(uids);
                 (listener, Some(connection))
             }
             None => {
-                let bound = handover::bind(config.listen, config.replaces);
+                let bound = handover::bind(config.listen, config.may_take_over);
                 let listener =
                     bound.map_err(|source| ServeError::bind("listen", config.listen, source, HINT))?;
                 (listener, None)
@@ -161,9 +161,9 @@
         let listing = Listing::new(config.names.clone());
         let (calls, call_queue) = mpsc::unbounded_channel();
         let Some(address) = config.discovery else {
-            let _ = inbox.send(Input::List(listing.news(config.known.clone())));
+            let _ = inbox.send(Input::List(listing.news(config.initial_list.clone())));
             spawn_local(static_list::run(
-                config.known.targets.clone(),
+                config.initial_list.targets.clone(),
                 longest_deadline(config),
                 clock,
                 listing.clone(),
@@ -181,7 +181,7 @@
             config.seed,
             inbox.clone(),
         );
-        let _ = inbox.send(Input::List(discovery.cached(config.known.clone())));
+        let _ = inbox.send(Input::List(discovery.cached(config.initial_list.clone())));
         spawn_local(discovery.clone().run(call_queue));
         ListSource { listing, discovery: Some(discovery), calls }
     }
@@ -244,7 +244,7 @@
 
 impl Sidecar {
     /// Creates and connects the parts, and starts the driver.
-    fn start(loaded: Loaded, log: LogControl, base: Base, bans: Rc<EndpointBans>) -> Self {
+    fn start(loaded: LoadedConfig, log: LogControl, base: Base, bans: Rc<EndpointBans>) -> Self {
         let Base { clock, balancer, budget, figures, lifecycle, handover, commands, command_queue } = base;
         let config = loaded.config.clone();
         let (inbox, inputs) = mpsc::unbounded_channel();
@@ -320,8 +320,9 @@
     config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
 }
 
-fn new_outbound(config: &Config, budget: &Rc<Budget>, figures: &Rc<Figures>) -> Rc<Outbound> {
-    let terms = Terms { sidecars: config.settings.balancers, accepts: config.endpoint_connections };
+fn new_outbound(config: &Config, budget: &Rc<Budget>, figures: &Rc<Metrics>) -> Rc<Outbound> {
+    let terms =
+        QuotaSettings { sidecars: config.settings.balancers, endpoint_limit: config.endpoint_connections };
     let slots = Slots::new(terms, config.seed);
     Outbound::new(&config.settings, budget.clone(), slots, figures.clone())
 }
@@ -331,19 +332,19 @@
     clock: Clock,
     commands: Commands,
     inbox: Inbox,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
 ) -> Rc<LearnedState> {
     let store = Store::new(&config.state_dir, config.listen);
     LearnedState::new(clock, fingerprint(&config.settings), store, commands, inbox, figures)
 }
 
-fn open_idempotency_keys(config: &Config, clock: Clock, figures: Rc<Figures>) -> IdempotencyKeys {
-    let zones = &config.names.areas;
+fn open_idempotency_keys(config: &Config, clock: Clock, figures: Rc<Metrics>) -> IdempotencyKeys {
+    let zones = &config.names.zones;
     IdempotencyKeys::open(&config.state_dir, config.listen, &config.settings, zones, figures, clock)
 }
 
 fn warn_of_overridden_settings(config: &Config) {
-    for note in &config.notes {
+    for note in &config.warnings {
         warn!(field = note.field, problem = note.problem, "configuration: taken as if it were otherwise");
     }
 }
--- a/crates/keys/tests/stored_forms.rs
+++ b/crates/keys/tests/stored_forms.rs
@@ -1,9 +1,9 @@
-//! Journals: the same bytes and file names as commit d7660a1 wrote, read and written.
+//! Journals are read and written with the same bytes and file names as at commit d7660a1.
 
 #[path = "../../control-plane/tests/support/fixture.rs"]
 mod fixture;
 
-use curlewhub_keys::{Entry, Journal, SlotWrite, hash, read, zones_hash};
+use curlewhub_keys::{Entry, Journal, SlotWrite, decode, hash, zones_hash};
 use fixture::{assert_same, hex, unhex, values};
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_journal_has_the_same_name_and_bytes() {
+fn a_journal_has_the_file_name_and_bytes_of_the_earlier_build() {
     let folder = std::env::temp_dir().join(format!("curlewhub-keys-forms-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let journal = journal(&folder);
@@ -51,6 +51,6 @@
 
 #[test]
 fn a_journal_of_the_earlier_build_is_read() {
-    let contents = read(&unhex(&values("journal.txt")[0].1), zones()).unwrap();
+    let contents = decode(&unhex(&values("journal.txt")[0].1), zones()).unwrap();
     assert_eq!((contents.entries, contents.corrupt), (vec![entry(0), entry(3)], 0));
 }
--- a/crates/model/src/world/sidecars.rs
+++ b/crates/model/src/world/sidecars.rs
@@ -49,7 +49,7 @@
             }
             Action::CloseIdle { endpoint } => self.processes[process].close_idle(endpoint.0 as usize),
             // A timer that comes all the same brings nothing about.
-            Action::DropTimer { .. } => {}
+            Action::CancelTimer { .. } => {}
             Action::Watch(_) | Action::FetchList | Action::Probe { .. } | Action::Log(_) => {}
         }
     }
@@ -73,7 +73,7 @@
                 request,
                 attempt: number,
                 endpoint,
-                outcome: Outcome::Moot,
+                outcome: Outcome::NotSent,
                 elapsed: Duration::ZERO,
                 finished: open.answered,
                 report: None,
@@ -126,7 +126,7 @@
     }
 
     /// Where the jobs of a process's clients may have run: the sidecar's, or lost with the process.
-    pub(super) fn memory(&mut self, process: usize) -> &mut Memory {
+    pub(super) fn memory(&mut self, process: usize) -> &mut KeyTable {
         let host = &mut self.processes[process];
         let lost = self.scenario.replacements.iter().any(|replacement| !replacement.keys);
         if lost { &mut host.keys } else { &mut self.keys[host.sidecar] }
@@ -137,12 +137,12 @@
         let Some(class) = self.calls.get(&call).map(|call| &self.scenario.classes[call.class]) else {
             return;
         };
-        if class.repeat != Repeat::Keyed {
+        if class.repeat != RepeatPolicy::Keyed {
             return;
         }
         let (zone, now) = (self.endpoints[endpoint_index].zone, self.now);
         let entry = Entry { key: call, zone, cell: 0, sent: now, window: class.window.0 };
-        let noted = self.memory(process).note(now, entry).is_some();
+        let noted = self.memory(process).insert(now, entry).is_some();
         if let Some(open) = self.processes[process].open.get_mut(&request) {
             open.noted |= noted;
         }
--- a/crates/runtime/src/discovery/call.rs
+++ b/crates/runtime/src/discovery/call.rs
@@ -3,9 +3,9 @@
 use super::body::{BodyReader, Progress};
 use super::error::{CallError, Part};
 use super::trace::CallTrace;
-use crate::guard::Guard;
+use crate::guard::AbortOnDrop;
 use crate::interrupts::Uninterrupted;
-use curlewhub_config::list::List;
+use curlewhub_config::list::EndpointList;
 use curlewhub_discovery_client::timing::{CALL_TIMEOUT, CONNECT_TIMEOUT};
 use curlewhub_discovery_client::{CallId, CallKind, Epoch, WatchState};
 use http_body_util::Empty;
@@ -23,11 +23,11 @@
 #[derive(Debug)]
 pub(super) enum Report {
     /// A line of a watch: a list, changes, or nothing new.
-    Line(Option<List>),
+    Line(Option<EndpointList>),
     /// A whole list.
-    WholeList(List),
+    WholeList(EndpointList),
     /// What can be read of a list that may have broken off.
-    Torn(List),
+    Torn(EndpointList),
     /// The call has ended, and no more comes of it.
     Ended {
         /// Why.
@@ -89,7 +89,7 @@
         self.report(Report::Ended { error, watch_was_up }).await;
     }
 
-    async fn whole_list(&mut self) -> Result<List, CallError> {
+    async fn whole_list(&mut self) -> Result<EndpointList, CallError> {
         let (response, _connection) = self.request("/api/targets").await?;
         let mut reader = BodyReader::new(response.into_body(), Part::List);
         loop {
@@ -103,8 +103,8 @@
                 }
             }
         }
-        match serde_json::from_slice::<List>(&reader.text) {
-            Ok(list) if list.all => Ok(list),
+        match serde_json::from_slice::<EndpointList>(&reader.text) {
+            Ok(list) if list.is_complete => Ok(list),
             Ok(_) => Err(CallError::NotWhole),
             Err(source) => {
                 self.report_torn(&reader.text).await;
@@ -117,9 +117,9 @@
     async fn watch(&mut self, after: u64, up: &mut bool) -> Result<std::convert::Infallible, CallError> {
         let (response, _connection) = self.request(&format!("/api/targets?watch=1&after={after}")).await?;
         let mut reader = BodyReader::new(response.into_body(), Part::Watch);
-        let mut state = WatchState::Opening { due: self.due - self.began };
+        let mut state = WatchState::Opening { deadline: self.due - self.began };
         loop {
-            match reader.read(self.began + state.due()).await {
+            match reader.read(self.began + state.deadline()).await {
                 Ok(Progress::More) => self.trace.first_byte(),
                 Ok(Progress::MayHaveBrokenOff) => {
                     self.report_torn(&reader.text).await;
@@ -160,7 +160,7 @@
         }
     }
 
-    async fn request(&mut self, path: &str) -> Result<(Response<Incoming>, Guard), CallError> {
+    async fn request(&mut self, path: &str) -> Result<(Response<Incoming>, AbortOnDrop), CallError> {
         let address = self.order.address;
         let up = self.due.min(Instant::now() + CONNECT_TIMEOUT);
         let connect = timeout_at(up, TcpStream::connect(address)).await;
@@ -169,7 +169,7 @@
         let io = TokioIo::new(Uninterrupted(stream));
         let (mut sender, connection) =
             hyper::client::conn::http1::handshake(io).await.map_err(CallError::Broke)?;
-        let guard = Guard::new(spawn_local(connection).abort_handle());
+        let guard = AbortOnDrop::new(spawn_local(connection).abort_handle());
         let request = Request::get(path)
             .header(header::HOST, address.to_string())
             .body(Empty::<Bytes>::new())
@@ -185,7 +185,7 @@
     /// Reports the complete entries of a list that broke off: a drain in them counts as notified. Entries that are up, and
     /// missing ones, may read otherwise behind the break; they wait for a complete list.
     async fn report_torn(&self, text: &[u8]) {
-        let list = List::torn(text);
+        let list = EndpointList::from_truncated(text);
         if !list.targets.is_empty() {
             self.report(Report::Torn(list)).await;
         }
@@ -198,7 +198,7 @@
 
 /// Takes what is whole of the lines that a watch has brought, and leaves the rest. A list may come indented, over
 /// several lines; an empty line says that nothing has changed. Behind what is no list nothing is taken.
-fn take_lines(text: &mut Vec<u8>) -> Vec<Result<Option<List>, serde_json::Error>> {
+fn take_lines(text: &mut Vec<u8>) -> Vec<Result<Option<EndpointList>, serde_json::Error>> {
     let mut lines = Vec::new();
     loop {
         let white = text.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
@@ -211,7 +211,7 @@
         if !text.contains(&b'}') {
             return lines;
         }
-        let mut lists = serde_json::Deserializer::from_slice(text).into_iter::<List>();
+        let mut lists = serde_json::Deserializer::from_slice(text).into_iter::<EndpointList>();
         match lists.next() {
             Some(Ok(list)) => {
                 let end = lists.byte_offset();
--- a/crates/runtime/src/discovery/mod.rs
+++ b/crates/runtime/src/discovery/mod.rs
@@ -6,12 +6,12 @@
 mod trace;
 
 use crate::events::{Call, Inbox, Input, ListStatus, News};
-use crate::guard::Guard;
+use crate::guard::AbortOnDrop;
 use crate::listing::Listing;
 use call::{Order, Report, Reports};
 use curlewhub_balance::{Discovery as DiscoveryMode, Membership, Rules as ListRules};
-use curlewhub_config::list::List;
-use curlewhub_discovery_client::{Action, CallId, Client, LeaseState, Mode, Outcome, Rules};
+use curlewhub_config::list::EndpointList;
+use curlewhub_discovery_client::{Action, CallId, Client, LeaseSettings, LeaseState, Mode, Outcome};
 pub use error::{CallError, Part};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -56,7 +56,7 @@
             DiscoveryMode::Push => Mode::Push,
             DiscoveryMode::Ask => Mode::Ask,
         };
-        let rules = Rules { ask_within: rules.ask_within, drain_grace: rules.drain_grace };
+        let rules = LeaseSettings { ask_within: rules.ask_within, drain_grace: rules.drain_grace };
         let client = RefCell::new(Client::new(mode, rules, seed, Duration::ZERO));
         let lease_state = Cell::new(Some(client.borrow().lease().state()));
         let (heard, status) = Default::default();
@@ -70,8 +70,8 @@
     }
 
     /// The list as last held, to start from.
-    pub fn cached(&self, list: List) -> News {
-        self.client.borrow_mut().known(list.rev);
+    pub fn cached(&self, list: EndpointList) -> News {
+        self.client.borrow_mut().set_initial_version(list.rev);
         let mut news = self.listing.news(list);
         if let Membership::Full(entries) | Membership::Delta(entries) = news.membership {
             news.membership = Membership::Cached(entries);
@@ -116,7 +116,7 @@
             Call::Fetch => client.fetch(now),
             Call::Move(address) => {
                 self.address.set(address);
-                client.moved(now);
+                client.server_changed(now);
             }
         }
     }
@@ -134,26 +134,26 @@
             }
             Report::Torn(list) => {
                 info!(call = id.0, rev = list.rev, entries = list.targets.len(), "list that broke off");
-                client.torn(id, list);
+                client.partial_list(id, list);
             }
             Report::Ended { error, watch_was_up } => {
                 warn!(call = id.0, reason = error.chain(), "discovery");
-                client.ended(now, id, error.ending(watch_was_up));
+                client.call_ended(now, id, error.ending(watch_was_up));
             }
         }
     }
 
-    fn carry_out(&self, out: &mut HashMap<CallId, Guard>, reports: &Reports) {
+    fn carry_out(&self, out: &mut HashMap<CallId, AbortOnDrop>, reports: &Reports) {
         for action in self.client.borrow_mut().take_actions() {
             match action {
                 Action::Call { id, epoch, kind } => {
                     let order = Order { id, epoch, kind, address: self.address.get() };
                     let call = call::Call::new(order, reports.clone());
                     out.retain(|_, guard| !guard.is_finished());
-                    out.insert(id, Guard::new(spawn_local(call.run()).abort_handle()));
+                    out.insert(id, AbortOnDrop::new(spawn_local(call.run()).abort_handle()));
                 }
-                Action::Abandon(id) => drop(out.remove(&id)),
-                Action::Take(list) => self.take(list),
+                Action::Cancel(id) => drop(out.remove(&id)),
+                Action::Apply(list) => self.take(list),
                 Action::Unchanged => self.tell(Membership::Delta(Vec::new())),
                 Action::Report(Outcome::Failed) => self.tell(Membership::Failed),
                 Action::Report(Outcome::Refused) => self.tell(Membership::Refused),
@@ -161,9 +161,9 @@
         }
     }
 
-    fn take(&self, list: List) {
+    fn take(&self, list: EndpointList) {
         if !list.targets.is_empty() {
-            info!(rev = list.rev, whole = list.all, entries = list.targets.len(), "list");
+            info!(rev = list.rev, whole = list.is_complete, entries = list.targets.len(), "list");
         }
         let news = self.listing.news(list);
         let _ = self.inbox.send(Input::List(news)); // fails only while the process ends
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -5,12 +5,12 @@
 mod list;
 mod probes;
 
-use super::attempt_terms::{Progress, Terms};
+use super::attempt_terms::{AttemptProgress, WriteConditions};
 use super::call_observer::CallObserver;
 use super::clock::Clock;
 use super::endpoint_bans::EndpointBans;
 use super::events::{Answer, Arrival, Call, Client, Command, Ended, Forward, Inbox, Input, ListStatus};
-use super::figures::Hosts;
+use super::figures::EndpointSummary;
 use super::handover::overlap::{BalancerAccess, Overlap};
 use super::idempotency_keys::IdempotencyKeys;
 use super::lifecycle::{Lifecycle, State};
@@ -194,8 +194,9 @@
             counts.sort();
             // What is kept must stay in proportion to what is open and listed.
             let (open, timers, module) =
-                (self.requests.len(), self.timers.len(), self.balancer.remembered());
-            let (listed, names, links) = (self.addresses.len(), self.listing.names(), self.outbound.idle());
+                (self.requests.len(), self.timers.len(), self.balancer.tracked_items());
+            let (listed, names, links) =
+                (self.addresses.len(), self.listing.names(), self.outbound.idle_count());
             info!(
                 seconds = SUMMARY.as_secs(),
                 outcomes = ?counts,
@@ -205,7 +206,7 @@
                 listed,
                 names,
                 idle = links,
-                full = self.outbound.full(),
+                full = self.outbound.full_refusals(),
                 "summary"
             );
         }
@@ -214,7 +215,7 @@
     fn take(&mut self, input: Input) {
         match input {
             Input::Arrived(arrival) => self.arrived(*arrival),
-            Input::BodyFlows(id) => self.handle(Event::BodyFlows(id)),
+            Input::BodyFlows(id) => self.handle(Event::BodyNotReplayable(id)),
             Input::BodyWhole(id, deadline) => self.body_whole(id, deadline),
             Input::ClientGone(id) => self.gone(id),
             Input::AttemptEnded(id, attempt, ended) => self.attempt_ended(id, attempt, ended),
@@ -233,7 +234,7 @@
                 warn!(requests = open.len(), "giving up what is still open");
                 for id in open {
                     self.finish(id, Answer::Failed);
-                    self.handle(Event::RequestGone(id));
+                    self.handle(Event::RequestAbandoned(id));
                     self.tidy(id);
                 }
             }
@@ -244,10 +245,10 @@
         // An answer that nobody waits for any more is nobody's loss.
         match command {
             Command::Hosts(told) => {
-                let down = self.balancer.avoided(self.clock.now());
+                let down = self.balancer.avoided_endpoints(self.clock.now());
                 let (listed, parts) = (self.addresses.len(), self.overlap.parts());
                 let list = self.list_status;
-                let _ = told.send(Hosts { listed, down, parts, list });
+                let _ = told.send(EndpointSummary { listed, down, parts, list });
             }
             Command::Zones(rights) => self.handle(Event::Zones(rights)),
             Command::ProbeZone { zone, count, within } => self.probe_zone(zone, count, within),
@@ -293,13 +294,13 @@
             self.banned.remove(&id);
         }
         self.admit(id);
-        self.handle(Event::Ban { endpoint: id, on });
+        self.handle(Event::Ban { endpoint: id, banned: on });
     }
 
     /// Something new may be written to it from now on where it is listed, does not drain and is not banned.
     fn admit(&self, id: EndpointId) {
         let open = !self.banned.contains(&id) && !self.draining.contains(&id);
-        self.outbound.admit(id, self.addresses.get(&id).copied().filter(|_| open));
+        self.outbound.set_admitted(id, self.addresses.get(&id).copied().filter(|_| open));
     }
 
     fn arrived(&mut self, arrival: Arrival) {
@@ -314,11 +315,11 @@
             {
                 self.idempotency_keys.import_journals(self.clock.now());
             }
-            request.earlier = self.idempotency_keys.earlier_send(self.clock.now(), key);
+            request.earlier_attempt = self.idempotency_keys.earlier_send(self.clock.now(), key);
         }
         request.time_left = deadline.saturating_duration_since(Instant::now());
         debug!(request = request.id.0, class = request.class.0, tenant = request.tenant.0, "request");
-        let coming = request.body_coming.then_some(time);
+        let coming = request.body_incomplete.then_some(time);
         let deadline = watch::Sender::new(deadline);
         let class = request.class;
         let (answer, tries, out, noted) = (Some(answer), Vec::new(), 0, false);
@@ -336,14 +337,14 @@
         open.deadline.send_replace(deadline);
         open.tries.iter_mut().filter(|tried| tried.cancel.is_some()).for_each(|tried| tried.sent = now);
         let time_left = deadline.saturating_duration_since(now);
-        self.handle(Event::BodyWhole { request: id, time_left });
+        self.handle(Event::BodyComplete { request: id, time_left });
     }
 
     fn gone(&mut self, id: RequestId) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         if open.answer.take().is_some() {
             self.count("client gone");
-            self.handle(Event::RequestGone(id));
+            self.handle(Event::RequestAbandoned(id));
         }
         self.tidy(id);
     }
@@ -375,7 +376,7 @@
         );
         self.call_observer.attempt_ended((id, attempt), outcome, elapsed);
         if outcome == Outcome::TimedOut {
-            self.outbound.close_unheard(endpoint, sent);
+            self.outbound.close_idle_since(endpoint, sent);
         }
         if outcome == Outcome::Ok {
             self.finish(id, Answer::Served(body));
@@ -455,7 +456,7 @@
             Action::SetTimer { token, after } => {
                 self.timers.set(token.0, Instant::now() + after);
             }
-            Action::DropTimer { token } => self.timers.drop(token.0),
+            Action::CancelTimer { token } => self.timers.drop(token.0),
             // These fail only while the process ends.
             Action::Watch(on) => drop(self.calls.send(Call::Watch(on))),
             Action::FetchList => drop(self.calls.send(Call::Fetch)),
@@ -467,7 +468,7 @@
 
     /// Starts an attempt. What must not be sent is numbered all the same, and ends as moot.
     fn send(&mut self, id: RequestId, endpoint: EndpointId, timeout: Duration) {
-        let repeats_until = self.balancer.repeats_until(id);
+        let repeats_until = self.balancer.retry_deadline(id);
         let Some(open) = self.requests.get_mut(&id) else { return };
         if open.client.has_gone() {
             open.answer = None; // its leaving is still on its way here, behind what came before it
@@ -482,14 +483,14 @@
                 request: id,
                 attempt,
                 endpoint,
-                outcome: Outcome::Moot,
+                outcome: Outcome::NotSent,
                 elapsed: Duration::ZERO,
                 finished: open.answer.is_none(),
                 report: None,
             }));
-            return self.count(outcome_name(Outcome::Moot));
+            return self.count(outcome_name(Outcome::NotSent));
         };
-        if let (Some(key), Some((zone, cell))) = (open.key, self.balancer.place(endpoint)) {
+        if let (Some(key), Some((zone, cell))) = (open.key, self.balancer.location(endpoint)) {
             open.noted |= self.idempotency_keys.record_send(self.clock.now(), key, open.class, zone, cell);
         }
         debug!(
@@ -505,7 +506,7 @@
         open.out += 1;
         // While a body still comes no endpoint takes any time over it.
         if open.coming.is_none() {
-            let zone = || self.balancer.place(endpoint).map(|(zone, _)| zone);
+            let zone = || self.balancer.location(endpoint).map(|(zone, _)| zone);
             self.call_observer.attempt_started((id, attempt), open.class, &zone);
         }
         let request = open.forward.request(address);
@@ -516,14 +517,14 @@
         let mut deadline = open.deadline.subscribe();
         let (outbound, inbox) = (self.outbound.clone(), self.inbox.clone());
         let begin_by = repeats_until.map(|until| now + until.saturating_sub(self.clock.now()));
-        let terms = Terms { client: open.client.clone(), begin_by, time_left };
+        let conditions = WriteConditions { client: open.client.clone(), begin_by, time_left };
         spawn_local(async move {
-            let progress = Progress::of_request(terms);
+            let progress = AttemptProgress::for_request(conditions);
             let ended = tokio::select! {
                 biased;
                 _ = &mut cancelled => Ended::bare(Outcome::Cancelled),
                 ended = outbound.attempt(endpoint, address, request, &progress) => ended,
-                () = passed(&mut deadline, until) => Ended::bare(progress.given_up()),
+                () = passed(&mut deadline, until) => Ended::bare(progress.timeout_outcome()),
             };
             let _ = inbox.send(Input::AttemptEnded(id, attempt, ended));
         });
@@ -574,12 +575,12 @@
     match outcome {
         Outcome::Ok => "ok",
         Outcome::Error => "error",
-        Outcome::Full => "turned away",
+        Outcome::Rejected => "turned away",
         Outcome::TimedOut => "timed out",
         Outcome::ConnectFailed => "not connected",
         Outcome::LocalFault => "fault of this machine",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "moot",
+        Outcome::NotSent => "moot",
     }
 }
