--- a/crates/curlewhub/tests/basics.rs
+++ b/crates/curlewhub/tests/basics.rs
@@ -10,27 +10,25 @@
 use support::*;
 
 /// Two peers of which whichever is asked first does this, and everything later is served.
-fn first_does(act: Do) -> [Peer; 2] {
+fn first_does(act: Action) -> [Peer; 2] {
     let asked = Arc::new(AtomicUsize::new(0));
     [0, 1].map(|_| {
         let (asked, act) = (asked.clone(), act.clone());
-        Peer::new(
-            move |_| {
-                if asked.fetch_add(1, Ordering::SeqCst) == 0 { act.clone() } else { Do::Serve("second") }
-            },
-        )
+        Peer::new(move |_| {
+            if asked.fetch_add(1, Ordering::SeqCst) == 0 { act.clone() } else { Action::Serve("second") }
+        })
     })
 }
 
 /// The status of the answer to one request, and how many attempts came, where the first does this.
-fn outcome_of(class: &str, act: Do) -> (u16, usize) {
+fn outcome_of(class: &str, act: Action) -> (u16, usize) {
     let peers = first_does(act);
     let sidecar = Sidecar::start(&config(&[&peers[0], &peers[1]]));
-    let answer = sidecar.ask(class, "r1");
+    let answer = sidecar.send_request(class, "r1");
     if answer.status() == 200 {
         assert_eq!(answer.body, b"second", "only an endpoint's whole answer is passed on");
     }
-    (answer.status(), peers[0].count() + peers[1].count())
+    (answer.status(), peers[0].request_count() + peers[1].request_count())
 }
 
 #[test]
@@ -39,9 +37,9 @@
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
     for (class, method) in [("quote", "GET"), ("book", "POST"), ("pay", "POST")] {
-        let answer = client.ask(class, &format!("id-{class}"));
+        let answer = client.send_request(class, &format!("id-{class}"));
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"the answer"[..]));
-        let seen = peer.seen.lock().unwrap().last().cloned().unwrap();
+        let seen = peer.requests.lock().unwrap().last().cloned().unwrap();
         assert_eq!(seen.first_line, format!("{method} /{class}/x?user=7f3a9c21e0b4d655&n=1 HTTP/1.1"));
         assert_eq!(seen.header("x-request-id"), format!("id-{class}"));
         assert_eq!(seen.header("idempotency-key"), if class == "pay" { "k1" } else { "" });
@@ -57,13 +55,13 @@
     let torn = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf".to_owned();
     let long = format!("HTTP/1.1 200 OK\r\nContent-Length: 40000000\r\n\r\n{}", "x".repeat(70000));
     for act in [
-        Do::WriteAndClose(String::new()),
-        Do::WriteAndClose(torn),
-        Do::WriteAndClose("nonsense\r\n\r\n".to_owned()),
-        Do::Write(long),
-        Do::Write(answer("500 Oh", "", "")),
-        Do::Write(answer("503 Busy", "", "")),
-        Do::Write(answer("504 Late", "X-Not-Processed: 0\r\n", "")),
+        Action::WriteAndClose(String::new()),
+        Action::WriteAndClose(torn),
+        Action::WriteAndClose("nonsense\r\n\r\n".to_owned()),
+        Action::Write(long),
+        Action::Write(answer("500 Oh", "", "")),
+        Action::Write(answer("503 Busy", "", "")),
+        Action::Write(answer("504 Late", "X-Not-Processed: 0\r\n", "")),
     ] {
         let what = format!("{act:?}").chars().take(60).collect::<String>();
         let (status, attempts) = outcome_of("book", act);
@@ -75,45 +73,49 @@
 #[test]
 fn an_unsafe_request_proved_not_to_have_run_is_sent_again() {
     for status in ["503 Busy", "504 Late"] {
-        let act = Do::Write(answer(status, "X-Not-Processed: 1\r\n", ""));
+        let act = Action::Write(answer(status, "X-Not-Processed: 1\r\n", ""));
         assert_eq!(outcome_of("book", act), (200, 2));
     }
     // With an answer that breaks off nothing is proved: it is spoilt, and such a request has run.
     let torn = "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 9\r\n\r\nha".to_owned();
-    assert_eq!(outcome_of("book", Do::WriteAndClose(torn)), (502, 1));
+    assert_eq!(outcome_of("book", Action::WriteAndClose(torn)), (502, 1));
 }
 
 #[test]
 fn an_unsafe_request_whose_connection_is_refused_is_served_elsewhere() {
     let peer = Peer::serving("here");
-    let sidecar = Sidecar::start(&config_at(&[nowhere(), peer.address]));
+    let sidecar = Sidecar::start(&config_for_addresses(&[unused_address(), peer.address]));
     for n in 0..8 {
-        assert_eq!(sidecar.ask("book", &format!("r{n}")).status(), 200);
+        assert_eq!(sidecar.send_request("book", &format!("r{n}")).status(), 200);
     }
-    assert_eq!(peer.count(), 8);
+    assert_eq!(peer.request_count(), 8);
 }
 
 #[test]
 fn a_request_refused_everywhere_is_refused_and_not_failed() {
-    let sidecar = Sidecar::start(&config_at(&[nowhere()]));
-    assert_eq!(sidecar.ask("book", "r1").status(), 503);
+    let sidecar = Sidecar::start(&config_for_addresses(&[unused_address()]));
+    assert_eq!(sidecar.send_request("book", "r1").status(), 503);
 }
 
 #[test]
 fn a_safe_or_keyed_request_is_sent_again_after_any_failure() {
     for class in ["quote", "pay"] {
-        assert_eq!(outcome_of(class, Do::WriteAndClose(String::new())), (200, 2), "{class}");
-        assert_eq!(outcome_of(class, Do::Write(answer("500 Oh", "", ""))), (200, 2), "{class}");
+        assert_eq!(outcome_of(class, Action::WriteAndClose(String::new())), (200, 2), "{class}");
+        assert_eq!(outcome_of(class, Action::Write(answer("500 Oh", "", ""))), (200, 2), "{class}");
     }
 }
 
 #[test]
 fn a_connection_that_the_endpoint_has_closed_is_not_used_again() {
-    let peer = Peer::new(|_| Do::ServeAndEnd("ok"));
+    let peer = Peer::new(|_| Action::ServeAndHalfClose("ok"));
     let sidecar = Sidecar::start(&config(&[&peer]));
     for n in 1..=10 {
-        assert_eq!(sidecar.ask("book", &format!("r{n}")).status(), 200, "an unsafe request is not risked");
-        wait_for("the sidecar's closing", || peer.closed() == n);
+        assert_eq!(
+            sidecar.send_request("book", &format!("r{n}")).status(),
+            200,
+            "an unsafe request is not risked"
+        );
+        wait_for("the sidecar's closing", || peer.closed_by_sidecar() == n);
     }
 }
 
@@ -123,14 +125,14 @@
     let mut config = config(&[&peer]);
     config["settings"]["limits"]["idleCloseMs"] = json!(1000.0);
     let sidecar = Sidecar::start(&config);
-    assert_eq!(sidecar.ask("book", "r1").status(), 200);
-    wait_for("the sidecar's closing", || peer.closed() == 1);
-    assert_eq!(sidecar.ask("book", "r2").status(), 200);
+    assert_eq!(sidecar.send_request("book", "r1").status(), 200);
+    wait_for("the sidecar's closing", || peer.closed_by_sidecar() == 1);
+    assert_eq!(sidecar.send_request("book", "r2").status(), 200);
 }
 
 #[test]
 fn a_silent_endpoint_costs_a_request_no_more_than_its_time() {
-    let peer = Peer::new(|_| Do::Silence);
+    let peer = Peer::new(|_| Action::NeverAnswer);
     let sidecar = Sidecar::start(&config(&[&peer]));
     for class in ["quote", "book"] {
         let mut client = sidecar.client();
@@ -139,8 +141,8 @@
         assert!((500..600).contains(&answer.status()), "{}", answer.first_line);
         assert_eq!(answer.status() == 503, class == "quote", "an unsafe one that may run is not refused");
     }
-    wait_for("both attempts being given up", || peer.closed() == 2);
-    assert_eq!(peer.count(), 2);
+    wait_for("both attempts being given up", || peer.closed_by_sidecar() == 2);
+    assert_eq!(peer.request_count(), 2);
 }
 
 #[test]
@@ -151,11 +153,11 @@
         Peer::new(move |_| {
             asked.fetch_add(1, Ordering::SeqCst);
             if cut_off.load(Ordering::SeqCst) {
-                return Do::Silence;
+                return Action::NeverAnswer;
             }
             // The first two wait for each other, so that each has a connection of its own.
             wait_for("both requests", || asked.load(Ordering::SeqCst) >= 2);
-            Do::Serve("ok")
+            Action::Serve("ok")
         })
     };
     let sidecar = Sidecar::start(&config(&[&peer]));
@@ -169,13 +171,13 @@
     cut_off.store(true, Ordering::SeqCst);
     clients[0].send(&request("book", "r2", "500m"));
     assert_ne!(clients[0].receive().expect("an answer").status(), 200);
-    wait_for("the end of both connections", || peer.closed() == 2);
-    assert_eq!(peer.count(), 3);
+    wait_for("the end of both connections", || peer.closed_by_sidecar() == 2);
+    assert_eq!(peer.request_count(), 3);
 }
 
 #[test]
 fn a_client_that_would_wait_longer_than_its_class_does_is_answered_in_the_class_s_time() {
-    let peer = Peer::new(|_| Do::Silence);
+    let peer = Peer::new(|_| Action::NeverAnswer);
     let mut config = config(&[&peer]);
     for class in [0, 1] {
         config["settings"]["classes"][class]["objectiveMs"] = json!(500.0);
@@ -189,14 +191,14 @@
 
 #[test]
 fn a_client_that_leaves_ends_its_attempt() {
-    let peer = Peer::new(|_| Do::Silence);
+    let peer = Peer::new(|_| Action::NeverAnswer);
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
     client.send(&request("quote", "r1", "600000m"));
-    wait_for("the attempt", || peer.count() == 1);
-    assert_eq!(peer.closed(), 0);
+    wait_for("the attempt", || peer.request_count() == 1);
+    assert_eq!(peer.closed_by_sidecar(), 0);
     drop(client);
-    wait_for("the attempt's end", || peer.closed() == 1);
+    wait_for("the attempt's end", || peer.closed_by_sidecar() == 1);
 }
 
 #[test]
@@ -248,8 +250,8 @@
         let status = client.receive().map_or(413, |answer| answer.status());
         assert!((400..500).contains(&status) && status != 429, "{status} for {what}");
     }
-    assert_eq!(peer.count(), 0);
-    assert_eq!(sidecar.ask("quote", "r2").status(), 200, "it lives on");
+    assert_eq!(peer.request_count(), 0);
+    assert_eq!(sidecar.send_request("quote", "r2").status(), 200, "it lives on");
 }
 
 #[test]
@@ -276,7 +278,7 @@
         (bad_class.to_string(), "settings.classes[1].semantics"),
         ("{".to_owned(), ""),
     ] {
-        let (status, said) = refuses(&text);
+        let (status, said) = run_to_exit(&text);
         assert!(!status.success(), "{field}");
         assert_eq!(said.trim_end().lines().count(), 1, "{said}");
         assert!(said.contains(field) && !said.contains("panicked"), "{said}");
@@ -285,12 +287,15 @@
 
 #[test]
 fn an_answer_late_for_one_client_holds_up_no_other() {
-    let peer = Peer::new(|m| if m.target().starts_with("/book") { Do::Silence } else { Do::Serve("ok") });
+    let peer =
+        Peer::new(
+            |m| if m.target().starts_with("/book") { Action::NeverAnswer } else { Action::Serve("ok") },
+        );
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut waiting = sidecar.client();
     waiting.send(&request("book", "r1", "600000m"));
-    wait_for("the attempt", || peer.count() == 1);
+    wait_for("the attempt", || peer.request_count() == 1);
     let start = Instant::now();
-    assert_eq!(sidecar.ask("quote", "r2").status(), 200);
+    assert_eq!(sidecar.send_request("quote", "r2").status(), 200);
     assert!(start.elapsed() < Duration::from_secs(9), "answered beside it");
 }
--- a/crates/curlewhub/tests/cli.rs
+++ b/crates/curlewhub/tests/cli.rs
@@ -83,8 +83,8 @@
         .stderr(log)
         .spawn()
         .unwrap();
-    let sidecar = Sidecar::running(child, listen, operator, file.0.clone());
-    wait_for("readiness", || sidecar.ready() == Some(200));
+    let sidecar = Sidecar::from_child(child, listen, operator, file.0.clone());
+    wait_for("readiness", || sidecar.readiness_status() == Some(200));
     sidecar
 }
 
@@ -139,36 +139,36 @@
 #[test]
 fn a_sidecar_serves_from_a_minimal_file_and_answers_ctl() {
     let peer = Peer::serving("hello");
-    let (listen, operator) = (nowhere(), nowhere());
+    let (listen, operator) = (unused_address(), unused_address());
     let file = File::new("serves", &toml(listen, operator, &[("one", peer.address)]));
     let mut sidecar = start(&file, listen, operator);
-    assert_eq!(sidecar.client().ask("quote", "r1").body, b"hello");
+    assert_eq!(sidecar.client().send_request("quote", "r1").body, b"hello");
     assert_eq!(ctl(operator, &["ping"]), (Some(0), "yes\n".to_owned(), String::new()));
     let (code, text, _) = ctl(operator, &["info", "--json"]);
     let figures: Value = serde_json::from_str(&text).unwrap();
     assert_eq!((code, &figures["figures"]["router.success.quote"]), (Some(0), &Value::from(1)));
     assert_eq!(ctl(operator, &["detach", "two"]).0, Some(1), "there is no such endpoint");
     assert_eq!(ctl(operator, &["detach", "one"]).0, Some(0));
-    assert_eq!(sidecar.client().ask("quote", "r2").status(), 503);
+    assert_eq!(sidecar.client().send_request("quote", "r2").status(), 503);
     assert_eq!(ctl(operator, &["attach", "one"]).0, Some(0));
     assert_eq!(ctl(operator, &["drain"]).0, Some(0));
     let (code, _, problem) = ctl(operator, &["ping"]);
     assert_eq!((code, problem.as_str()), (Some(1), "curlewhub: no: Draining\n"));
     assert_eq!(ctl(operator, &["undrain"]).0, Some(0));
-    assert_eq!(sidecar.client().ask("quote", "r3").body, b"hello");
+    assert_eq!(sidecar.client().send_request("quote", "r3").body, b"hello");
     sidecar.signal("-INT");
-    assert!(sidecar.ended().success(), "ctrl-c drains");
+    assert!(sidecar.wait_for_exit().success(), "ctrl-c drains");
 }
 
 #[test]
 fn a_call_to_a_dead_or_silent_address_fails_before_its_deadline() {
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     for (at, want) in
-        [(nowhere(), "nobody listens there"), (silent.local_addr().unwrap(), "no answer within")]
+        [(unused_address(), "nobody listens there"), (silent.local_addr().unwrap(), "no answer within")]
     {
         let start = Instant::now();
         let (code, _, problem) = ctl(at, &["info"]);
-        assert!(start.elapsed() < PATIENCE, "{:?}", start.elapsed());
+        assert!(start.elapsed() < WAIT_TIMEOUT, "{:?}", start.elapsed());
         assert_eq!(code, Some(1));
         assert!(problem.contains(want) && problem.lines().count() == 1, "{problem}");
         let (code, text, _) = ctl(at, &["ping", "--json"]);
@@ -180,7 +180,7 @@
 #[test]
 fn a_second_sidecar_on_the_same_port_fails_and_the_first_keeps_serving() {
     let peer = Peer::serving("first");
-    let (listen, operator) = (nowhere(), nowhere());
+    let (listen, operator) = (unused_address(), unused_address());
     let file = File::new("port", &toml(listen, operator, &[("one", peer.address)]));
     let sidecar = start(&file, listen, operator);
     let second = |words: &[&str]| {
@@ -193,7 +193,7 @@
         problem.contains(&format!("operator: {operator}: another program listens there already")),
         "{problem}"
     );
-    let other = nowhere().to_string();
+    let other = unused_address().to_string();
     let (code, _, problem) = second(&["--operator", &other]);
     assert_eq!(code, Some(1));
     assert!(
@@ -201,45 +201,45 @@
         "{problem}"
     );
     assert!(problem.contains("--replace"), "{problem}");
-    assert_eq!(sidecar.client().ask("quote", "r1").body, b"first");
+    assert_eq!(sidecar.client().send_request("quote", "r1").body, b"first");
 }
 
 #[test]
 fn sighup_applies_a_new_list_drains_removed_endpoints_and_ignores_an_invalid_file() {
-    let (old, new) = (Peer::new(|_| Do::Late(Duration::from_millis(500))), Peer::serving("new"));
-    let (listen, operator) = (nowhere(), nowhere());
+    let (old, new) = (Peer::new(|_| Action::ServeAfter(Duration::from_millis(500))), Peer::serving("new"));
+    let (listen, operator) = (unused_address(), unused_address());
     let file = File::new("hup", &toml(listen, operator, &[("old", old.address)]));
     let mut sidecar = start(&file, listen, operator);
     let mut client = sidecar.client();
     client.send(&request("quote", "r0", "9000m"));
-    wait_for("the attempt", || old.count() == 1);
+    wait_for("the attempt", || old.request_count() == 1);
     file.write("listen = ");
     sidecar.signal("-HUP");
-    wait_for("the failure", || sidecar.figure("reconfig_failed") == 1);
-    assert_eq!(sidecar.figure("hosts_listed"), 1);
+    wait_for("the failure", || sidecar.metric("reconfig_failed") == 1);
+    assert_eq!(sidecar.metric("hosts_listed"), 1);
     file.write(&toml(listen, operator, &[("new", new.address)]));
     sidecar.signal("-HUP");
-    wait_for("the new list", || sidecar.figure("reconfig_ok") == 1 && sidecar.figure("hosts_listed") == 2);
-    assert_eq!(sidecar.figure("hosts_down"), 1, "the old one drains");
+    wait_for("the new list", || sidecar.metric("reconfig_ok") == 1 && sidecar.metric("hosts_listed") == 2);
+    assert_eq!(sidecar.metric("hosts_down"), 1, "the old one drains");
     // The new endpoint is in slow start: it may refuse part of a burst, but nothing is sent to the old one.
     let mut served = 0;
     for n in 0..20 {
-        let answer = sidecar.client().ask("quote", &format!("r1-{n}"));
+        let answer = sidecar.client().send_request("quote", &format!("r1-{n}"));
         assert!(matches!((answer.status(), &answer.body[..]), (200, b"new") | (503, _)));
         served += usize::from(answer.status() == 200);
     }
     assert!(served > 0);
-    assert_eq!(old.count(), 1);
+    assert_eq!(old.request_count(), 1);
     assert_eq!(client.receive().expect("an attempt in flight is still answered").body, b"late");
     assert!(sidecar.child.try_wait().unwrap().is_none());
-    sidecar.says("reload: going on as before");
+    sidecar.wait_for_log("reload: going on as before");
 }
 
 #[test]
 fn a_log_without_a_reader_does_not_stop_traffic() {
     let peer = Peer::serving("hello");
     for gone in [true, false] {
-        let (listen, operator) = (nowhere(), nowhere());
+        let (listen, operator) = (unused_address(), unused_address());
         let file = File::new(&format!("log-{gone}"), &toml(listen, operator, &[("one", peer.address)]));
         // At this level every request writes lines, so a pipe without a reader is soon full.
         let mut child = program()
@@ -258,11 +258,11 @@
             .unwrap();
         let pipe = child.stderr.take();
         let kept = pipe.filter(|_| !gone);
-        let sidecar = Sidecar::running(child, listen, operator, file.0.clone());
-        wait_for("readiness", || sidecar.ready() == Some(200));
+        let sidecar = Sidecar::from_child(child, listen, operator, file.0.clone());
+        wait_for("readiness", || sidecar.readiness_status() == Some(200));
         let mut client = sidecar.client();
         for n in 0..400 {
-            assert_eq!(client.ask("quote", &format!("r{n}")).status(), 200);
+            assert_eq!(client.send_request("quote", &format!("r{n}")).status(), 200);
         }
         drop(kept);
     }
@@ -271,12 +271,12 @@
 #[test]
 fn json_log_lines_have_named_fields() {
     let peer = Peer::serving("hello");
-    let (listen, operator) = (nowhere(), nowhere());
+    let (listen, operator) = (unused_address(), unused_address());
     let text =
         toml(listen, operator, &[("one", peer.address)]) + "[log]\nformat = \"json\"\nlevel = \"debug\"\n";
     let file = File::new("json", &text);
     let sidecar = start(&file, listen, operator);
-    assert_eq!(sidecar.client().ask("quote", "r1").status(), 200);
+    assert_eq!(sidecar.client().send_request("quote", "r1").status(), 200);
     let line = |what: &str| {
         let log = sidecar.log();
         let lines = log.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
--- a/crates/curlewhub/tests/connections.rs
+++ b/crates/curlewhub/tests/connections.rs
@@ -24,7 +24,7 @@
         Peer::new(move |_| {
             gate.come.fetch_add(1, Ordering::SeqCst);
             wait_for("the gate", || gate.open.load(Ordering::SeqCst));
-            Do::Serve("ok")
+            Action::Serve("ok")
         })
     }
 
@@ -75,7 +75,7 @@
     let gate = Gate::default();
     let (crowded, other) = (gate.peer(), Peer::serving("ok"));
     let taken = Arc::<AtomicUsize>::default();
-    let mut config = config_at(&[door(crowded.address, taken.clone()), other.address]);
+    let mut config = config_for_addresses(&[door(crowded.address, taken.clone()), other.address]);
     config["known"]["targets"][1]["state"] = json!("draining");
     let discovery = Discovery::new(config["known"].clone());
     config["discovery"] = json!(discovery.address.to_string());
@@ -83,7 +83,7 @@
     let served = at_once(&sidecar, "a", 2, || {
         wait_for("both to be there", || gate.come() == 2);
         let up = target("s-1", other.address, "up");
-        discovery.say(&list(9, false, &[up]).to_string());
+        discovery.send_line(&list(9, false, &[up]).to_string());
         wait_for("the list", || sidecar.log().contains("rev=9 "));
         // The crowded one is asked too, and takes no third connection.
         let mut turned_away = 0;
@@ -132,8 +132,8 @@
         let part = if field == "balancers" { "settings" } else { "limits" };
         config[part][field] = said.clone();
         let sidecar = Sidecar::start(&config);
-        assert_eq!(sidecar.ask("quote", "r1").status(), 200);
-        let log = sidecar.says(field);
+        assert_eq!(sidecar.send_request("quote", "r1").status(), 200);
+        let log = sidecar.wait_for_log(field);
         assert!(log.contains(&format!("{part}.{field}")) && log.contains("out of range"), "{log}");
     }
 }
--- a/crates/curlewhub/tests/consensus_storage.rs
+++ b/crates/curlewhub/tests/consensus_storage.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// Nothing that a test waits for may take longer, not even on a slow machine.
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Proposals that are refused before there is room again.
 const REFUSED: usize = 20;
 /// The entries of each server's schedule.
@@ -117,7 +117,7 @@
                 return servers;
             }
             let logs: Vec<_> = (1..=3).map(|n| std::fs::read_to_string(self.log(n)).unwrap()).collect();
-            assert!(began.elapsed() < PATIENCE, "never: {what}: {status}\n{}", logs.join("\n"));
+            assert!(began.elapsed() < WAIT_TIMEOUT, "never: {what}: {status}\n{}", logs.join("\n"));
             std::thread::sleep(Duration::from_millis(50));
         }
     }
@@ -159,7 +159,7 @@
 fn until(what: &str, holds: impl Fn() -> bool) {
     let began = Instant::now();
     while !holds() {
-        assert!(began.elapsed() < PATIENCE, "never: {what}");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "never: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
--- a/crates/curlewhub/tests/crossings/discovery.rs
+++ b/crates/curlewhub/tests/crossings/discovery.rs
@@ -12,8 +12,8 @@
 const TOLD: Duration = Duration::from_millis(6000);
 
 /// A sidecar of one endpoint, whose discovery is played by the test.
-fn following(stage: &Stage, peer: &Peer, mode: &str) -> (Sidecar, Value) {
-    let mut config = operated(&[peer]);
+fn following(stage: &ScriptedListener, peer: &Peer, mode: &str) -> (Sidecar, Value) {
+    let mut config = config_with_operator(&[peer]);
     config["discovery"] = json!(stage.address.to_string());
     config["settings"]["discovery"] = json!(mode);
     (Sidecar::start(&config), config)
@@ -24,16 +24,16 @@
 }
 
 /// Answers the next call, a watch or a whole list, with these changes; when it did.
-fn tell(stage: &Stage, line: &str) -> Instant {
-    let (wire, call) = stage.request();
+fn tell(stage: &ScriptedListener, line: &str) -> Instant {
+    let (wire, call) = stage.accept_request();
     answer_with(wire, &call, line)
 }
 
 /// Answers a call with these changes; when it did.
-fn answer_with(mut wire: Wire, call: &Message, line: &str) -> Instant {
+fn answer_with(mut wire: RawConnection, call: &Message, line: &str) -> Instant {
     if call.target().contains("watch") {
         wire.write(CHUNKED);
-        wire.chunk(&format!("{line}\n"));
+        wire.write_chunk(&format!("{line}\n"));
     } else {
         wire.write(&answer("200 OK", "", line));
     }
@@ -43,20 +43,20 @@
 
 /// Says so in its log, and then sends nothing there.
 fn knows_the_drain(sidecar: &Sidecar) {
-    sidecar.says("endpoint leaves");
+    sidecar.wait_for_log("endpoint leaves");
     let mut client = sidecar.client();
     client.send(&request("quote", "q", "300m"));
     assert_ne!(client.receive().expect("an answer").status(), 200);
 }
 
 /// Whatever fails before, the call behind it comes in time for a call that takes all of its 3.2 s.
-fn asked_again_in_time(mode: &str, mut fail: impl FnMut(&Stage)) {
-    let (stage, peer) = (Stage::new(), Peer::serving("ok"));
+fn asked_again_in_time(mode: &str, mut fail: impl FnMut(&ScriptedListener)) {
+    let (stage, peer) = (ScriptedListener::new(), Peer::serving("ok"));
     let (sidecar, _) = following(&stage, &peer, mode);
     for failure in 0..3 {
         fail(&stage);
         let from = Instant::now();
-        let next = stage.take();
+        let next = stage.accept();
         let waited = from.elapsed();
         assert!(waited < TOLD - Duration::from_millis(3200), "{mode}, failure {failure}: {waited:?}");
         next.reset(); // this one fails as well
@@ -69,10 +69,10 @@
 fn after_calls_that_are_reset_or_closed_the_next_comes_in_time() {
     for mode in ["automatic", "subscribe"] {
         std::thread::scope(|scope| {
-            scope.spawn(|| asked_again_in_time(mode, |stage| stage.take().reset()));
+            scope.spawn(|| asked_again_in_time(mode, |stage| stage.accept().reset()));
             scope.spawn(|| {
                 asked_again_in_time(mode, |stage| {
-                    let (mut wire, _) = stage.request();
+                    let (mut wire, _) = stage.accept_request();
                     wire.write(CHUNKED);
                 });
             });
@@ -92,11 +92,11 @@
     std::thread::scope(|scope| {
         for (mode, took) in cases {
             scope.spawn(move || {
-                let (stage, peer) = (Stage::new(), Peer::serving("ok"));
+                let (stage, peer) = (ScriptedListener::new(), Peer::serving("ok"));
                 let (sidecar, _) = following(&stage, &peer, mode);
                 let started = Instant::now();
                 let refuse = || {
-                    let (mut wire, _) = stage.request();
+                    let (mut wire, _) = stage.accept_request();
                     let called = Instant::now();
                     std::thread::sleep(took);
                     wire.write(&answer("503 Service Unavailable", "", ""));
@@ -110,7 +110,7 @@
                 assert!(apart < TOLD - Duration::from_millis(1000), "{mode}, {took:?}: {apart:?}");
                 // Behind a third one calls are spread over up to 9 s, and twice that where it refuses at once and so is
                 // there: what a whole fleet's calls at the former pace cost it is in discovery_load of the model.
-                let (wire, call) = stage.request();
+                let (wire, call) = stage.accept_request();
                 let longest = Duration::from_secs(if took.is_zero() { 18 } else { 9 });
                 assert!(third.elapsed() < longest + SLOW, "{mode}, {took:?}: {:?}", third.elapsed());
                 if took.is_zero() && started.elapsed() > TOLD + SLOW {
@@ -127,14 +127,14 @@
 }
 
 /// The time until the next call is made, while `go_on` does something to the one before now and then.
-fn until_asked_again(stage: &Stage, mut go_on: impl FnMut()) -> Duration {
+fn until_asked_again(stage: &ScriptedListener, mut go_on: impl FnMut()) -> Duration {
     let from = Instant::now();
     loop {
-        if let Some(next) = stage.take_within(Duration::from_millis(50)) {
+        if let Some(next) = stage.accept_within(Duration::from_millis(50)) {
             next.reset();
             return from.elapsed();
         }
-        assert!(from.elapsed() < PATIENCE, "no other call ever");
+        assert!(from.elapsed() < WAIT_TIMEOUT, "no other call ever");
         go_on();
     }
 }
@@ -148,16 +148,16 @@
     std::thread::scope(|scope| {
         for (mode, trickles) in cases {
             scope.spawn(move || {
-                let (stage, peer) = (Stage::new(), Peer::serving("ok"));
+                let (stage, peer) = (ScriptedListener::new(), Peer::serving("ok"));
                 let (sidecar, _) = following(&stage, &peer, mode);
-                let (mut wire, _) = stage.request();
+                let (mut wire, _) = stage.accept_request();
                 let line = list(9, true, &[target("s-0", peer.address, "up")]).to_string();
                 let mut bytes = line.chars();
                 wire.write(CHUNKED);
                 // One byte each 50 ms: by itself it would take eight seconds.
                 let waited = until_asked_again(&stage, || {
                     if trickles && let Some(byte) = bytes.next() {
-                        wire.chunk(&byte.to_string());
+                        wire.write_chunk(&byte.to_string());
                     }
                 });
                 let most = Duration::from_millis(3200 + 1500);
@@ -187,19 +187,21 @@
             .flat_map(|mode| [Silent, SilentWithinALine, Trickling, Whitespace].map(|goes| (mode, goes)))
         {
             scope.spawn(move || {
-                let (stage, peer) = (Stage::new(), Peer::serving("ok"));
+                let (stage, peer) = (ScriptedListener::new(), Peer::serving("ok"));
                 let (sidecar, _) = following(&stage, &peer, mode);
-                let (mut wire, _) = stage.request();
+                let (mut wire, _) = stage.accept_request();
                 wire.write(CHUNKED);
-                wire.chunk(&format!("{}\n", list(8, false, &[])));
+                wire.write_chunk(&format!("{}\n", list(8, false, &[])));
                 let torn = gone(9, &peer).replace("draining", "up");
                 let mut bytes = torn.chars();
                 if goes == SilentWithinALine {
-                    wire.chunk(&torn[..torn.len() - 9]);
+                    wire.write_chunk(&torn[..torn.len() - 9]);
                 }
                 let waited = until_asked_again(&stage, || match goes {
-                    Trickling => bytes.next().into_iter().for_each(|byte| wire.chunk(&byte.to_string())),
-                    Whitespace => wire.chunk(" "),
+                    Trickling => {
+                        bytes.next().into_iter().for_each(|byte| wire.write_chunk(&byte.to_string()))
+                    }
+                    Whitespace => wire.write_chunk(" "),
                     Silent | SilentWithinALine => {}
                 });
                 assert!(waited + Duration::from_millis(3200) < TOLD + SLOW, "{mode}, {goes:?}: {waited:?}");
@@ -212,58 +214,58 @@
 
 #[test]
 fn a_drain_in_a_line_that_trickles_counts_while_the_rest_still_comes() {
-    let (stage, peer, other) = (Stage::new(), Peer::serving("old"), Peer::serving("new"));
+    let (stage, peer, other) = (ScriptedListener::new(), Peer::serving("old"), Peer::serving("new"));
     let (sidecar, _) = following(&stage, &peer, "automatic");
-    let (mut wire, _) = stage.request();
+    let (mut wire, _) = stage.accept_request();
     wire.write(CHUNKED);
-    wire.chunk(&format!("{}\n", list(8, false, &[target("s-1", other.address, "up")])));
-    wait_for("the other one", || sidecar.figure("hosts_listed") == 2);
+    wire.write_chunk(&format!("{}\n", list(8, false, &[target("s-1", other.address, "up")])));
+    wait_for("the other one", || sidecar.metric("hosts_listed") == 2);
     let changes = [target("s-0", peer.address, "draining"), target("s-2", other.address, "up")];
     let line = list(9, false, &changes).to_string();
     let cut = line.find('}').unwrap() + 2;
-    wire.chunk(&line[..cut]);
+    wire.write_chunk(&line[..cut]);
     let mut bytes = line[cut..line.len() - 1].chars();
     // It goes on coming all the time, faster than any pause that would be noticed.
     let known = |sidecar: &Sidecar| sidecar.log().contains("list that broke off");
     wait_for("the drain, before the line's end", || {
-        wire.chunk(&bytes.next().expect("before its end").to_string());
+        wire.write_chunk(&bytes.next().expect("before its end").to_string());
         known(&sidecar)
     });
-    assert!((0..10).all(|n| sidecar.ask("book", &format!("r{n}")).body == b"new"));
+    assert!((0..10).all(|n| sidecar.send_request("book", &format!("r{n}")).body == b"new"));
 }
 
 #[test]
 fn a_list_may_come_indented_in_an_answer_and_on_a_watch() {
     for mode in ["automatic", "subscribe"] {
-        let (stage, peer, other) = (Stage::new(), Peer::serving("old"), Peer::serving("new"));
+        let (stage, peer, other) = (ScriptedListener::new(), Peer::serving("old"), Peer::serving("new"));
         let (sidecar, mut config) = following(&stage, &peer, mode);
         let indented = |value: &Value| serde_json::to_string_pretty(value).unwrap();
-        let (mut wire, _) = stage.request();
+        let (mut wire, _) = stage.accept_request();
         wire.write(CHUNKED);
         let first = indented(&list(8, false, &[target("s-1", other.address, "up")]));
         // In two pieces, cut within a line of it, and two lists in one.
         let (head, rest) = first.split_at(first.len() / 2);
-        wire.chunk(head);
-        wire.chunk(&format!("{rest}\n"));
-        wait_for("the list", || sidecar.figure("hosts_listed") == 2);
+        wire.write_chunk(head);
+        wire.write_chunk(&format!("{rest}\n"));
+        wait_for("the list", || sidecar.metric("hosts_listed") == 2);
         let drain = indented(&list(9, false, &[target("s-0", peer.address, "draining")]));
         let again = indented(&list(10, false, &[target("s-2", other.address, "up")]));
-        wire.chunk(&format!("{drain}\n\n{again}\n"));
-        wait_for("both lists", || sidecar.figure("hosts_listed") == 3);
-        assert!((0..10).all(|n| sidecar.ask("book", &format!("r{n}")).body == b"new"));
+        wire.write_chunk(&format!("{drain}\n\n{again}\n"));
+        wait_for("both lists", || sidecar.metric("hosts_listed") == 3);
+        assert!((0..10).all(|n| sidecar.send_request("book", &format!("r{n}")).body == b"new"));
         // A server that has moved is asked for its whole list first.
-        let moved = Stage::new();
+        let moved = ScriptedListener::new();
         config["discovery"] = json!(moved.address.to_string());
         sidecar.reload(&config.to_string());
         tell(&moved, &indented(&list(2, true, &[target("s-1", other.address, "up")])));
-        wait_for("the whole list", || sidecar.figure("hosts_listed") == 1);
+        wait_for("the whole list", || sidecar.metric("hosts_listed") == 1);
         // What the old one still says is nobody's word any more.
-        wire.chunk(&format!("{}\n", list(11, false, &[target("s-9", peer.address, "up")])));
-        let (mut next, call) = moved.request();
+        wire.write_chunk(&format!("{}\n", list(11, false, &[target("s-9", peer.address, "up")])));
+        let (mut next, call) = moved.accept_request();
         assert_eq!(call.target(), "/api/targets?watch=1&after=2");
         next.write(CHUNKED);
-        next.chunk(&format!("{}\n", list(3, false, &[target("s-3", other.address, "up")])));
-        wait_for("the new one's change", || sidecar.figure("hosts_listed") == 2);
+        next.write_chunk(&format!("{}\n", list(3, false, &[target("s-3", other.address, "up")])));
+        wait_for("the new one's change", || sidecar.metric("hosts_listed") == 2);
     }
 }
 
@@ -282,10 +284,10 @@
 }
 
 /// The sidecar's watch, up and with nothing to tell.
-fn opened_watch(stage: &Stage) -> Wire {
-    let (mut watch, _) = stage.request();
+fn opened_watch(stage: &ScriptedListener) -> RawConnection {
+    let (mut watch, _) = stage.accept_request();
     watch.write(CHUNKED);
-    watch.chunk(&format!("{}\n", list(8, false, &[])));
+    watch.write_chunk(&format!("{}\n", list(8, false, &[])));
     watch
 }
 
@@ -295,7 +297,7 @@
     let of_peer = arrivals.clone();
     let peer = Peer::new(move |_| {
         of_peer.lock().unwrap().push(Instant::now());
-        Do::Serve("ok")
+        Action::Serve("ok")
     });
     (peer, arrivals)
 }
@@ -312,8 +314,8 @@
     std::thread::scope(|scope| {
         for (mode, notified_after) in cases {
             scope.spawn(move || {
-                let (stage, (peer, arrivals)) = (Stage::new(), recording());
-                let mut config = operated(&[&peer]);
+                let (stage, (peer, arrivals)) = (ScriptedListener::new(), recording());
+                let mut config = config_with_operator(&[&peer]);
                 config["discovery"] = json!(stage.address.to_string());
                 config["settings"]["discovery"] = json!(mode);
                 config["settings"]["rules"]["drainGraceMs"] = json!(grace.as_millis() as f64);
@@ -326,11 +328,11 @@
                     wait_for("requests", || arrivals.lock().unwrap().len() > 20);
                     let ended = Instant::now();
                     watch.half_close();
-                    let (mut next, _) = stage.request();
+                    let (mut next, _) = stage.accept_request();
                     std::thread::sleep(notified_after + Duration::from_millis(1000));
                     let answered = Instant::now();
                     next.write(CHUNKED);
-                    next.chunk(&format!("{}\n", list(9, false, &[])));
+                    next.write_chunk(&format!("{}\n", list(9, false, &[])));
                     wait_for("requests again", || {
                         arrivals.lock().unwrap().last().is_some_and(|at| *at > answered)
                     });
@@ -354,7 +356,7 @@
     std::thread::scope(|scope| {
         for mode in ["subscribe", "automatic"] {
             scope.spawn(move || {
-                let (stage, (peer, arrivals)) = (Stage::new(), recording());
+                let (stage, (peer, arrivals)) = (ScriptedListener::new(), recording());
                 let (sidecar, _) = following(&stage, &peer, mode);
                 let watch = opened_watch(&stage);
                 let stop = AtomicBool::new(false);
@@ -362,7 +364,7 @@
                     scope.spawn(|| keep_asking(&sidecar, &stop));
                     wait_for("requests", || arrivals.lock().unwrap().len() > 5);
                     watch.reset();
-                    let (mut call, _) = stage.request();
+                    let (mut call, _) = stage.accept_request();
                     std::thread::sleep(Duration::from_millis(2900));
                     call.write(&answer("503 Service Unavailable", "", ""));
                     // The next call is held as well, and brings nothing either.
@@ -394,9 +396,9 @@
 }
 
 /// Refuses each call to discovery at once until told to stop.
-fn refuse_calls(stage: &Stage, stop: &AtomicBool) {
+fn refuse_calls(stage: &ScriptedListener, stop: &AtomicBool) {
     while !stop.load(Ordering::SeqCst) {
-        let Some(mut wire) = stage.take_within(Duration::from_millis(20)) else { continue };
+        let Some(mut wire) = stage.accept_within(Duration::from_millis(20)) else { continue };
         if wire.read().is_some() {
             wire.write(&answer("503 Service Unavailable", "", ""));
         }
@@ -407,8 +409,8 @@
 #[test]
 fn a_process_whose_calls_are_refused_from_its_start_on_sends_nothing_after_six_seconds() {
     let grace = Duration::from_millis(250);
-    let (stage, (peer, arrivals)) = (Stage::new(), recording());
-    let mut config = operated(&[&peer]);
+    let (stage, (peer, arrivals)) = (ScriptedListener::new(), recording());
+    let mut config = config_with_operator(&[&peer]);
     config["discovery"] = json!(stage.address.to_string());
     config["settings"]["discovery"] = json!("subscribe");
     config["settings"]["rules"]["drainGraceMs"] = json!(grace.as_millis() as f64);
--- a/crates/curlewhub/tests/crossings/limits.rs
+++ b/crates/curlewhub/tests/crossings/limits.rs
@@ -10,9 +10,9 @@
 #[test]
 fn idle_clients_that_hold_all_descriptors_while_discovery_is_down_keep_nobody_from_their_own() {
     let (peer, new) = (Peer::serving("old"), Peer::serving("new"));
-    let mut config = operated(&[&peer]);
+    let mut config = config_with_operator(&[&peer]);
     config["limits"]["sockets"] = json!(128);
-    let door = nowhere();
+    let door = unused_address();
     config["discovery"] = json!(door.to_string());
     config["settings"]["discovery"] = json!("automatic");
     // The kernel holds it to the same figure.
@@ -20,7 +20,7 @@
     // They have been served, rest, and never leave; others have said nothing.
     let mut resting = Vec::new();
     for n in 0..120 {
-        let mut wire = Wire::connect(sidecar.address);
+        let mut wire = RawConnection::connect(sidecar.address);
         if n % 2 == 0 {
             wire.write(&request("quote", &format!("i{n}"), "9000m"));
             wire.read().expect("an answer, served or turned away");
@@ -30,13 +30,13 @@
     assert!(sidecar.descriptors() <= 128);
     // Operators, new clients and discovery, once it is back, get theirs.
     assert_eq!(sidecar.call("PING"), "YES\n");
-    wait_for("a new client to be served", || sidecar.ask("quote", "n").status() == 200);
-    let before = sidecar.ticks();
+    wait_for("a new client to be served", || sidecar.send_request("quote", "n").status() == 200);
+    let before = sidecar.cpu_ticks();
     std::thread::sleep(Duration::from_secs(1));
-    assert!(sidecar.ticks() - before < 50, "it spins");
+    assert!(sidecar.cpu_ticks() - before < 50, "it spins");
     let back = Instant::now();
     let discovery = Discovery::at(door, list(8, true, &[target("s-new", new.address, "up")]));
-    wait_for("the new list", || sidecar.ask("quote", "m").body == b"new");
+    wait_for("the new list", || sidecar.send_request("quote", "m").body == b"new");
     assert!(back.elapsed() < Duration::from_secs(8), "told, and a slow machine's margin");
     assert!(!discovery.calls().is_empty() && sidecar.descriptors() <= 128);
     drop(resting);
@@ -44,7 +44,7 @@
 
 #[test]
 fn nobody_who_is_closed_for_room_loses_a_request() {
-    let peer = Peer::new(|_| Do::Late(Duration::from_millis(5)));
+    let peer = Peer::new(|_| Action::ServeAfter(Duration::from_millis(5)));
     let mut config = config(&[&peer]);
     config["limits"]["sockets"] = json!(96);
     let sidecar = Sidecar::start(&config);
@@ -58,7 +58,7 @@
         silent.len()
     });
     for n in 0..40 {
-        let mut wire = Wire::connect(sidecar.address);
+        let mut wire = RawConnection::connect(sidecar.address);
         let mut turn = 0;
         // A first request may cross the close of a connection that had said nothing until then: its client asks
         // again. Once one has been answered, only an answer that says so is the last.
@@ -79,11 +79,11 @@
 
 #[test]
 fn a_flood_in_the_moment_of_a_drain_holds_up_neither_the_drain_nor_good_clients() {
-    let peer = Peer::new(|_| Do::Late(Duration::from_millis(50)));
+    let peer = Peer::new(|_| Action::ServeAfter(Duration::from_millis(50)));
     let mut sidecar = Sidecar::start(&config(&[&peer]));
     let many: String = (0..300).map(|n| request("quote", &format!("f{n}"), "9000m")).collect();
-    let mut good: Vec<Wire> = (0..5).map(|_| Wire::connect(sidecar.address)).collect();
-    let mut bad: Vec<Wire> = (0..40).map(|_| Wire::connect(sidecar.address)).collect();
+    let mut good: Vec<RawConnection> = (0..5).map(|_| RawConnection::connect(sidecar.address)).collect();
+    let mut bad: Vec<RawConnection> = (0..40).map(|_| RawConnection::connect(sidecar.address)).collect();
     for (n, wire) in good.iter_mut().enumerate() {
         wire.write(&request("book", &format!("g{n}"), "9000m"));
     }
@@ -103,10 +103,10 @@
     }
     let start = Instant::now();
     for wire in &mut bad {
-        let (_, end) = wire.rest(Duration::from_secs(6));
+        let (_, end) = wire.read_until_end(Duration::from_secs(6));
         assert_ne!(end, End::Open, "owed an error or a close");
     }
-    assert!(sidecar.ended().success());
+    assert!(sidecar.wait_for_exit().success());
     assert!(start.elapsed() < Duration::from_secs(10));
 }
 
@@ -122,7 +122,7 @@
 fn nine_in_ten_of_thirty_restarted_processes_are_ready_within_ten_seconds() {
     for state in [State::Silent, State::Refusing, State::DownAtFirst] {
         let peer = Peer::serving("ok");
-        let down = nowhere();
+        let down = unused_address();
         // It takes calls and answers none; it refuses them; it comes up later.
         let silent = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = match state {
@@ -156,6 +156,6 @@
         });
         let soon = up.iter().filter(|(_, took)| *took < Duration::from_secs(10)).count();
         assert!(soon >= 27, "{state:?}: {soon} of 30 within 10 s");
-        assert!(up.iter().all(|(sidecar, _)| sidecar.ask("quote", "r").status() == 200));
+        assert!(up.iter().all(|(sidecar, _)| sidecar.send_request("quote", "r").status() == 200));
     }
 }
--- a/crates/curlewhub/tests/crossings/settings.rs
+++ b/crates/curlewhub/tests/crossings/settings.rs
@@ -7,7 +7,7 @@
 
 /// Settings as the platform gives them for the deployments in deploy/sites/, with these classes.
 fn settings(classes: Value, tenants: Value, zones: Value, change: impl FnOnce(&mut Value)) -> Value {
-    let mut config = operated(&[]);
+    let mut config = config_with_operator(&[]);
     let settings = &mut config["settings"];
     settings["classes"] = classes;
     settings["tenants"] = tenants;
@@ -71,7 +71,7 @@
 }
 
 fn answer_to(sidecar: &Sidecar, text: &str) -> Message {
-    let mut wire = Wire::connect(sidecar.address);
+    let mut wire = RawConnection::connect(sidecar.address);
     wire.write(text);
     wire.read().expect("an answer")
 }
@@ -129,9 +129,9 @@
 #[test]
 fn an_unsafe_request_goes_again_only_where_it_surely_never_ran() {
     // How the first endpoint ends the attempt, and whether it may go on to another.
-    type Ends = (&'static str, fn(Wire), bool);
+    type Ends = (&'static str, fn(RawConnection), bool);
     let cases: [Ends; 4] = [
-        ("written whole, then reset", Wire::reset, false),
+        ("written whole, then reset", RawConnection::reset, false),
         (
             "handed back unseen",
             |mut wire| wire.write(&answer("503 No", "X-Not-Processed: 1\r\n", "")),
@@ -141,25 +141,25 @@
         ("a 503 that does not say so", |mut wire| wire.write(&answer("503 No", "", "")), false),
     ];
     for (what, end, again) in cases {
-        let (stage, mut config) = (Stage::new(), ticket_desk());
+        let (stage, mut config) = (ScriptedListener::new(), ticket_desk());
         // Alone, so that it is the first; the other one is told of while the attempt is out.
-        let (discovery, other) = (Stage::new(), Peer::serving("ok"));
+        let (discovery, other) = (ScriptedListener::new(), Peer::serving("ok"));
         known(&mut config, &[stage.address]);
         config["discovery"] = json!(discovery.address.to_string());
         let sidecar = Sidecar::start(&config);
-        let (mut watch, _) = discovery.request();
+        let (mut watch, _) = discovery.accept_request();
         watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        let mut client = Wire::connect(sidecar.address);
+        let mut client = RawConnection::connect(sidecar.address);
         client.write(&ask("card-charge", "teatro-sol", "r1", false, true));
         // It is out at the first one before there is another.
-        let (wire, _) = stage.request();
-        watch.chunk(&format!("{}\n", list(8, false, &[target("s-1", other.address, "up")])));
-        wait_for("the other one", || sidecar.figure("hosts_listed") == 2);
+        let (wire, _) = stage.accept_request();
+        watch.write_chunk(&format!("{}\n", list(8, false, &[target("s-1", other.address, "up")])));
+        wait_for("the other one", || sidecar.metric("hosts_listed") == 2);
         end(wire);
         let status = client.read().expect("an answer").status();
         assert_eq!(status == 200, again, "{what}: {status}");
         assert!(again || !matches!(status, 429 | 503), "{what}: a refusal says that it never ran");
-        assert_eq!(other.count(), usize::from(again), "{what}");
+        assert_eq!(other.request_count(), usize::from(again), "{what}");
     }
 }
 
@@ -169,13 +169,14 @@
         let mut config = tide_board();
         config["settings"]["limits"]["maxAttempts"] = json!(most);
         config["settings"]["limits"]["secondCopies"] = json!(false);
-        let peers: Vec<Peer> = (0..6).map(|_| Peer::new(|_| Do::Write(answer("500 No", "", "")))).collect();
+        let peers: Vec<Peer> =
+            (0..6).map(|_| Peer::new(|_| Action::Write(answer("500 No", "", "")))).collect();
         let addresses: Vec<_> = peers.iter().map(|peer| peer.address).collect();
         known(&mut config, &addresses);
         let sidecar = Sidecar::start(&config);
         let status = answer_to(&sidecar, &ask("level-read", "ferry-line", "r1", false, false)).status();
         assert_ne!(status, 200);
-        let made: usize = peers.iter().map(Peer::count).sum();
+        let made: usize = peers.iter().map(Peer::request_count).sum();
         assert!((1..=most).contains(&made), "{made} of {most}");
     }
 }
@@ -223,7 +224,7 @@
             };
         }
         *at = value.clone();
-        let (status, said) = refuses_soon(&config.to_string());
+        let (status, said) = run_for_5s(&config.to_string());
         let clear = status.code() == Some(2) && said.contains(field) && !said.contains("panicked");
         if !clear || said.lines().filter(|line| line.contains(field)).count() != 1 {
             unclear.push(format!("{field} = {value}: {status}, {said}"));
@@ -232,18 +233,18 @@
     assert!(unclear.is_empty(), "{unclear:#?}");
     let whole = ticket_desk().to_string();
     for cut in [0, 1, whole.len() / 2, whole.len() - 1] {
-        let (status, said) = refuses_soon(&whole[..cut]);
+        let (status, said) = run_for_5s(&whole[..cut]);
         assert!(status.code() == Some(2) && !said.contains("panicked"), "{cut}: {said}");
     }
 }
 
 #[test]
 fn connections_that_fall_silent_are_given_up_in_the_times_of_these_settings() {
-    let (door, mut config) = (SlowDoor::shut(), ticket_desk());
+    let (door, mut config) = (FullBacklogListener::new(), ticket_desk());
     known(&mut config, &[door.address]);
     config["settings"]["limits"]["maxAttempts"] = json!(1);
     let sidecar = Sidecar::start(&config);
-    let mut client = Wire::connect(sidecar.address);
+    let mut client = RawConnection::connect(sidecar.address);
     client.write(&ask("card-charge", "teatro-sol", "r1", false, true));
     // 300 ms to connect, by its settings: refused, as it never ran, and well before its time is up.
     let answer = client.read_within(Duration::from_millis(1200)).expect("an answer before 1,500 ms");
--- a/crates/curlewhub/tests/handover.rs
+++ b/crates/curlewhub/tests/handover.rs
@@ -10,7 +10,7 @@
 
 /// A configuration for these endpoints whose discovery answers.
 fn with_discovery(peers: &[&Peer]) -> (Value, Discovery) {
-    let mut config = operated(peers);
+    let mut config = config_with_operator(peers);
     let entry = |(n, peer): (usize, &&Peer)| target(&format!("s-{n}"), peer.address, "up");
     let entries: Vec<Value> = peers.iter().enumerate().map(entry).collect();
     let discovery = Discovery::new(list(8, true, &entries));
@@ -30,14 +30,14 @@
         let next = all[all.len() - 1].successor(&config);
         wait_for("the successor's yes", || next.call("PING") == "YES\n");
         let old = all.last_mut().unwrap();
-        old.says("a successor has come");
+        old.wait_for_log("a successor has come");
         old.signal("-TERM");
-        assert!(old.ended().success());
-        wait_for("its use", || next.figure("success.quote") > 0);
-        assert_eq!(next.figure("failure.quote"), 0);
+        assert!(old.wait_for_exit().success());
+        wait_for("its use", || next.metric("success.quote") > 0);
+        assert_eq!(next.metric("failure.quote"), 0);
         all.push(next);
     }
-    assert!(load.end() > 0);
+    assert!(load.stop() > 0);
 }
 
 #[test]
@@ -51,26 +51,27 @@
     assert_eq!(old.call("DETACH s-1"), "YES\n", "told to the old one");
     assert_eq!(next.call("DETACH s-2"), "YES\n", "told to the new one");
     for sidecar in [&old, &next] {
-        assert_eq!(sidecar.figure("hosts_down"), 3);
+        assert_eq!(sidecar.metric("hosts_down"), 3);
     }
     old.signal("-TERM");
-    assert!(old.ended().success());
-    let load =
-        |tag: &str| (0..20).for_each(|n| assert_eq!(next.ask("quote", &format!("{tag}{n}")).status(), 200));
+    assert!(old.wait_for_exit().success());
+    let load = |tag: &str| {
+        (0..20).for_each(|n| assert_eq!(next.send_request("quote", &format!("{tag}{n}")).status(), 200))
+    };
     load("a");
-    assert_eq!(peers.each_ref().map(Peer::count)[..3], [0, 0, 0]);
+    assert_eq!(peers.each_ref().map(Peer::request_count)[..3], [0, 0, 0]);
     assert_eq!(next.call("ATTACH s-1"), "YES\n");
     wait_for("its use", || {
         load("b");
-        peers[1].count() > 0
+        peers[1].request_count() > 0
     });
-    assert_eq!((peers[0].count(), peers[2].count()), (0, 0));
+    assert_eq!((peers[0].request_count(), peers[2].request_count()), (0, 0));
     // And over the next one, with a call back during the overlap.
     let last = next.successor(&config);
     wait_for("the successor's yes", || last.call("PING") == "YES\n");
-    assert_eq!(last.figure("hosts_down"), 2);
+    assert_eq!(last.metric("hosts_down"), 2);
     assert_eq!(next.call("ATTACH s-0"), "YES\n");
-    assert_eq!(last.figure("hosts_down"), 1);
+    assert_eq!(last.metric("hosts_down"), 1);
 }
 
 #[test]
@@ -80,20 +81,20 @@
     let mut old = Sidecar::start(&config);
     assert_eq!(old.call("DETACH s-0"), "YES\n");
     old.signal("-KILL");
-    old.ended();
+    old.wait_for_exit();
     let mut next = old.successor(&config);
     wait_for("its yes", || next.call("PING") == "YES\n");
-    assert_eq!(next.ask("quote", "r1").status(), 200);
-    assert_eq!(next.figure("hosts_down"), 1);
+    assert_eq!(next.send_request("quote", "r1").status(), 200);
+    assert_eq!(next.metric("hosts_down"), 1);
     next.signal("-KILL");
-    next.ended();
+    next.wait_for_exit();
     // Spoilt: it starts all the same.
-    for file in std::fs::read_dir(old.folder()).unwrap() {
+    for file in std::fs::read_dir(old.state_dir()).unwrap() {
         std::fs::write(file.unwrap().path(), "{").ok();
     }
     let next = old.successor(&config);
     wait_for("its yes", || next.call("PING") == "YES\n");
-    assert_eq!(next.figure("hosts_down"), 0);
+    assert_eq!(next.metric("hosts_down"), 0);
 }
 
 #[test]
@@ -102,7 +103,7 @@
     let (config, _discovery) = with_discovery(&[&peer]);
     let old = Sidecar::start(&config);
     // Somebody who never answers holds the handover's place.
-    let mut files = std::fs::read_dir(old.folder()).unwrap().map(|file| file.unwrap().path());
+    let mut files = std::fs::read_dir(old.state_dir()).unwrap().map(|file| file.unwrap().path());
     let path = files.find(|path| path.extension().is_some_and(|e| e == "sock")).unwrap();
     std::fs::remove_file(&path).unwrap();
     let _hung = UnixListener::bind(&path).unwrap();
@@ -120,7 +121,7 @@
     drop(next);
     wait_for("that to be known", || old.log().contains("successor has gone"));
     for n in 0..20 {
-        assert_eq!(old.ask("quote", &format!("r{n}")).status(), 200);
+        assert_eq!(old.send_request("quote", &format!("r{n}")).status(), 200);
     }
     let next = old.successor(&config);
     wait_for("another one's yes", || next.call("PING") == "YES\n");
@@ -129,14 +130,14 @@
 #[test]
 fn a_successor_is_not_ready_before_its_list_is_fresh() {
     let peer = Peer::serving("ok");
-    let mut config = operated(&[&peer]);
-    let at = nowhere();
+    let mut config = config_with_operator(&[&peer]);
+    let at = unused_address();
     config["discovery"] = json!(at.to_string());
     let old = Sidecar::start(&config);
     let next = old.successor(&config);
     assert!(next.call("PING").starts_with("NO"), "discovery is not there yet");
-    let entries = [target("s-0", peer.address, "up"), target("s-1", nowhere(), "up")];
+    let entries = [target("s-0", peer.address, "up"), target("s-1", unused_address(), "up")];
     let _discovery = Discovery::at(at, list(8, true, &entries));
     wait_for("its yes", || next.call("PING") == "YES\n");
-    assert_eq!(next.figure("hosts_listed"), 2);
+    assert_eq!(next.metric("hosts_listed"), 2);
 }
--- a/crates/curlewhub/tests/learnt.rs
+++ b/crates/curlewhub/tests/learnt.rs
@@ -6,12 +6,12 @@
 use std::path::PathBuf;
 use std::process::Command;
 use support::discovery::Discovery;
-use support::script::Wire;
+use support::script::RawConnection;
 use support::*;
 
 /// A configuration for one endpoint whose discovery answers.
 fn with_discovery(peer: &Peer) -> (Value, Discovery) {
-    let mut config = operated(&[peer]);
+    let mut config = config_with_operator(&[peer]);
     let discovery = Discovery::new(list(8, true, &[target("s-0", peer.address, "up")]));
     config["discovery"] = json!(discovery.address.to_string());
     (config, discovery)
@@ -19,7 +19,7 @@
 
 fn file(sidecar: &Sidecar) -> PathBuf {
     let at = sidecar.address;
-    sidecar.folder().join(format!("curlewhub-learnt-{}-{}.bin", at.ip(), at.port()))
+    sidecar.state_dir().join(format!("curlewhub-learnt-{}-{}.bin", at.ip(), at.port()))
 }
 
 /// What `curlewhub snapshot show --json` says of a file.
@@ -35,7 +35,7 @@
 }
 
 fn learn(sidecar: &Sidecar) {
-    (0..30).for_each(|n| assert_eq!(sidecar.ask("quote", &format!("l{n}")).status(), 200));
+    (0..30).for_each(|n| assert_eq!(sidecar.send_request("quote", &format!("l{n}")).status(), 200));
 }
 
 /// A sidecar that was killed outright after it had learnt and kept something, and its file.
@@ -45,7 +45,7 @@
     let kept = file(&sidecar);
     wait_for("the file", || seen(&kept) >= 30);
     sidecar.signal("-KILL");
-    sidecar.ended();
+    sidecar.wait_for_exit();
     (sidecar, kept)
 }
 
@@ -54,23 +54,23 @@
     let peer = Peer::serving("ok");
     let (config, _discovery) = with_discovery(&peer);
     let first = Sidecar::start(&config);
-    first.says("snapshot: none is kept here");
+    first.wait_for_log("snapshot: none is kept here");
     learn(&first);
     // The folder goes with the first one: all are kept until the end.
     let mut all = vec![first];
     for _ in 0..2 {
         let next = all[all.len() - 1].successor(&config);
         wait_for("the successor's yes", || next.call("PING") == "YES\n");
-        let line = next.says("snapshot: read");
+        let line = next.wait_for_log("snapshot: read");
         assert!(line.contains("the process before") && line.contains("restored=true"), "{line}");
         let old = all.last_mut().unwrap();
         old.signal("-TERM");
-        assert!(old.ended().success());
+        assert!(old.wait_for_exit().success());
         all.push(next);
     }
     let last = all.last_mut().unwrap();
     last.signal("-TERM");
-    assert!(last.ended().success());
+    assert!(last.wait_for_exit().success());
     let kept = file(last);
     assert_eq!(seen(&kept), 30, "not one of them answered a request of its own");
 }
@@ -82,9 +82,9 @@
     let (first, _) = killed(&config);
     let second = first.successor(&config);
     wait_for("its yes", || second.call("PING") == "YES\n");
-    let line = second.says("snapshot: read");
+    let line = second.wait_for_log("snapshot: read");
     assert!(line.contains("from=\"file\"") && line.contains("restored=true"), "{line}");
-    assert_eq!(second.ask("quote", "r1").status(), 200);
+    assert_eq!(second.send_request("quote", "r1").status(), 200);
 }
 
 #[test]
@@ -107,11 +107,11 @@
         assert!(show(&kept).is_none(), "{reason}");
         let mut next = first.successor(&config);
         wait_for("its yes", || next.call("PING") == "YES\n");
-        let line = next.says("snapshot: refused");
+        let line = next.wait_for_log("snapshot: refused");
         assert!(line.contains(reason), "{line}");
-        assert_eq!(next.ask("quote", "r1").status(), 200);
+        assert_eq!(next.send_request("quote", "r1").status(), 200);
         next.signal("-KILL");
-        next.ended();
+        next.wait_for_exit();
     }
     // Under other settings what was learnt is not its own.
     std::fs::write(&kept, &good).unwrap();
@@ -119,7 +119,7 @@
     other["settings"]["classes"][0]["objectiveMs"] = json!(9000.0);
     let next = first.successor(&other);
     wait_for("its yes", || next.call("PING") == "YES\n");
-    next.says("of another tier or configuration");
+    next.wait_for_log("of another tier or configuration");
 }
 
 #[test]
@@ -127,18 +127,18 @@
     let peer = Peer::serving("ok");
     let (config, _discovery) = with_discovery(&peer);
     let sidecar = Sidecar::start(&config);
-    wait_for("the first file", || sidecar.figure("snapshot_ok") > 0);
+    wait_for("the first file", || sidecar.metric("snapshot_ok") > 0);
     // A folder stands where the file is to go: it can't be renamed over, whoever runs this.
     let kept = file(&sidecar);
     std::fs::remove_file(&kept).unwrap();
     std::fs::create_dir(&kept).unwrap();
     sidecar.call("LAMEDUCK");
-    wait_for("the failure", || sidecar.figure("snapshot_failed") > 0);
-    sidecar.says("snapshot: can't be written");
-    assert_eq!(sidecar.ask("quote", "r1").status(), 200);
+    wait_for("the failure", || sidecar.metric("snapshot_failed") > 0);
+    sidecar.wait_for_log("snapshot: can't be written");
+    assert_eq!(sidecar.send_request("quote", "r1").status(), 200);
     // One may just be written, and is gone a moment later.
     wait_for("no half-written file", || {
-        let beside = std::fs::read_dir(sidecar.folder()).unwrap().flatten();
+        let beside = std::fs::read_dir(sidecar.state_dir()).unwrap().flatten();
         beside.into_iter().all(|entry| !entry.file_name().to_string_lossy().ends_with(".new"))
     });
 }
@@ -150,7 +150,7 @@
 #[test]
 fn a_disk_that_answers_late_holds_no_request_up() {
     let peer = Peer::serving("ok");
-    let config = operated(&[&peer]);
+    let config = config_with_operator(&[&peer]);
     let sidecar = Sidecar::start(&config);
     let snapshot = file(&sidecar);
     wait_for("the first snapshot", || snapshot.exists());
@@ -160,7 +160,7 @@
     assert!(sidecar.call("LAMEDUCK").starts_with("YES"));
     let start = std::time::Instant::now();
     while start.elapsed() < std::time::Duration::from_secs(1) {
-        let mut client = Wire::connect(sidecar.address);
+        let mut client = RawConnection::connect(sidecar.address);
         client.write(&request("quote", "q", "400m"));
         let answer = client.read_within(std::time::Duration::from_secs(5));
         assert!(answer.is_some(), "no answer within five seconds");
--- a/crates/curlewhub/tests/local_faults.rs
+++ b/crates/curlewhub/tests/local_faults.rs
@@ -37,7 +37,7 @@
         let program = Some("curlewhub".to_owned());
         let schedule = Schedule { seed: 1, program, origin: Origin::Activation, entries: vec![entry] };
         let injection = Injection::new(&schedule, &folder, "sidecar").unwrap();
-        let config = operated(&peers.iter().collect::<Vec<_>>());
+        let config = config_with_operator(&peers.iter().collect::<Vec<_>>());
         let sidecar = Sidecar::start_with(&config, &injection.shell_prefix());
         Bench { sidecar, injection, peers, folder }
     }
@@ -81,7 +81,7 @@
     while began.elapsed() < Duration::from_secs(3) {
         asked += 1;
         assert_eq!(bench.ask(&format!("d{asked}")), Some(503), "refused: it may be tried again");
-        assert_eq!(bench.sidecar.figure("hosts_down"), 0, "after {asked} requests");
+        assert_eq!(bench.sidecar.metric("hosts_down"), 0, "after {asked} requests");
     }
     let struck = bench.injection.struck(0).unwrap();
     assert!(struck >= asked, "each was tried");
@@ -128,7 +128,7 @@
     bench.switch(Switch::On);
     let mut client = Client::connect(bench.sidecar.address).unwrap();
     for n in 0..20 {
-        assert_eq!(client.ask("book", &format!("i{n}")).status(), 200);
+        assert_eq!(client.send_request("book", &format!("i{n}")).status(), 200);
         std::thread::sleep(AGES);
     }
     assert!(bench.injection.struck(0).unwrap() >= 40);
@@ -162,11 +162,11 @@
     bench.switch(Switch::On);
     let (asked, unanswered) = bench.ask_until_struck(1);
     assert_eq!(unanswered, 0, "of {asked}");
-    let before = bench.peers[0].count();
+    let before = bench.peers[0].request_count();
     for n in 0..60 {
         assert_eq!(bench.ask(&format!("t{n}")), Some(200));
     }
-    assert!(bench.peers[0].count() > before, "one of four endpoints that nothing tells apart");
+    assert!(bench.peers[0].request_count() > before, "one of four endpoints that nothing tells apart");
 }
 
 #[test]
@@ -190,7 +190,7 @@
         let struck = bench.injection.struck(0).unwrap();
         eprintln!("{errno:?}: of {asked} unanswered {unanswered}, {struck} connections broken");
         assert!(unanswered as u64 <= struck, "{errno:?}: {unanswered} with {struck} connections broken");
-        assert_eq!(bench.sidecar.figure("hosts_down"), 0);
+        assert_eq!(bench.sidecar.metric("hosts_down"), 0);
         bench.switch(Switch::Off);
         assert_eq!(bench.ask("after"), Some(200));
     }
--- a/crates/curlewhub/tests/operator.rs
+++ b/crates/curlewhub/tests/operator.rs
@@ -13,7 +13,7 @@
 #[test]
 fn calls_are_answered_and_what_is_no_call_gets_a_no() {
     let peer = Peer::serving("ok");
-    let sidecar = Sidecar::start(&operated(&[&peer]));
+    let sidecar = Sidecar::start(&config_with_operator(&[&peer]));
     assert_eq!(sidecar.call("PING"), "YES\n");
     assert_eq!(sidecar.call("PING\r"), "YES\n");
     let long = format!("DETACH {}", "x".repeat(100_000));
@@ -28,14 +28,14 @@
     let mut endless = TcpStream::connect(sidecar.operator.unwrap()).unwrap();
     let _ = endless.write_all(long.as_bytes()); // may be closed under us
     assert_eq!(sidecar.call("PING"), "YES\n");
-    assert_eq!(sidecar.figure("hosts_down"), 0);
-    assert_eq!(sidecar.ask("quote", "r1").status(), 200);
+    assert_eq!(sidecar.metric("hosts_down"), 0);
+    assert_eq!(sidecar.send_request("quote", "r1").status(), 200);
 }
 
 #[test]
 fn callers_who_say_nothing_keep_nobody_waiting_and_use_up_nothing() {
     let peer = Peer::serving("ok");
-    let sidecar = Sidecar::start(&operated(&[&peer]));
+    let sidecar = Sidecar::start(&config_with_operator(&[&peer]));
     let before = sidecar.descriptors();
     let silent: Vec<_> = (0..200)
         .map(|n| {
@@ -55,18 +55,18 @@
 #[test]
 fn each_request_stands_under_one_count() {
     let peer = Peer::new(|m| match m.target() {
-        t if t.starts_with("/quote") => Do::Serve("ok"),
-        t if t.starts_with("/pay") => Do::Silence,
-        _ => Do::Write(answer("500 No", "", "")),
+        t if t.starts_with("/quote") => Action::Serve("ok"),
+        t if t.starts_with("/pay") => Action::NeverAnswer,
+        _ => Action::Write(answer("500 No", "", "")),
     });
-    let sidecar = Sidecar::start(&operated(&[&peer]));
+    let sidecar = Sidecar::start(&config_with_operator(&[&peer]));
     for n in 0..5 {
-        assert_eq!(sidecar.ask("quote", &format!("q{n}")).status(), 200);
+        assert_eq!(sidecar.send_request("quote", &format!("q{n}")).status(), 200);
     }
     // It may have run and may not be repeated: failed.
-    assert!(sidecar.ask("book", "b1").status() >= 500);
+    assert!(sidecar.send_request("book", "b1").status() >= 500);
     // Malformed, with a class and without one that is known.
-    assert_eq!(sidecar.ask("nothing", "n1").status(), 404);
+    assert_eq!(sidecar.send_request("nothing", "n1").status(), 404);
     let mut client = sidecar.client();
     client.send(&request("quote", "q9", "soon"));
     assert_eq!(client.receive().unwrap().status(), 400);
@@ -74,26 +74,26 @@
     client.send("no request at all\r\n\r\n");
     assert_eq!(client.receive().unwrap().status(), 400);
     // Readiness is no request.
-    assert_eq!(sidecar.ready(), Some(200));
+    assert_eq!(sidecar.readiness_status(), Some(200));
     let mut gone = sidecar.client();
     gone.send(&request("pay", "p1", "10000m"));
-    wait_for("it to be in flight", || sidecar.figure("inflight") == 1);
+    wait_for("it to be in flight", || sidecar.metric("inflight") == 1);
     drop(gone);
-    wait_for("it to be over", || sidecar.figure("inflight") == 0);
+    wait_for("it to be over", || sidecar.metric("inflight") == 0);
     let figures =
-        |class: &str| ["success", "busy", "failure"].map(|name| sidecar.figure(&format!("{name}.{class}")));
+        |class: &str| ["success", "busy", "failure"].map(|name| sidecar.metric(&format!("{name}.{class}")));
     wait_for("all counts", || figures("unknown") == [0, 0, 2]);
     assert_eq!(figures("quote"), [5, 0, 1]);
     assert_eq!(figures("book"), [0, 0, 1]);
     assert_eq!(figures("pay"), [0, 0, 1]);
-    assert_eq!(sidecar.figure("backend_calls"), peer.count() as u64);
-    assert_eq!((sidecar.figure("hosts_listed"), sidecar.figure("reconfig_ok")), (1, 0));
+    assert_eq!(sidecar.metric("backend_calls"), peer.request_count() as u64);
+    assert_eq!((sidecar.metric("hosts_listed"), sidecar.metric("reconfig_ok")), (1, 0));
 }
 
 #[test]
 fn refusals_are_counted_too_those_at_the_door_among_them() {
-    let peer = Peer::new(|_| Do::Silence);
-    let mut config = operated(&[&peer]);
+    let peer = Peer::new(|_| Action::NeverAnswer);
+    let mut config = config_with_operator(&[&peer]);
     config["limits"]["sockets"] = json!(96);
     let sidecar = Sidecar::start(&config);
     let mut clients: Vec<Client> = (0..80).map(|_| sidecar.client()).collect();
@@ -112,62 +112,62 @@
     let statuses: Vec<u16> = statuses.collect();
     let busy = statuses.iter().filter(|status| **status == 503).count() as u64;
     assert!(busy > 0);
-    wait_for("the counts", || sidecar.figure("busy.quote") + sidecar.figure("failure.quote") == 80);
-    assert_eq!(sidecar.figure("busy.quote"), busy);
+    wait_for("the counts", || sidecar.metric("busy.quote") + sidecar.metric("failure.quote") == 80);
+    assert_eq!(sidecar.metric("busy.quote"), busy);
 }
 
 #[test]
 fn a_drain_under_load_loses_nothing_closes_what_is_idle_and_can_be_undone() {
     let peer = Peer::serving("ok");
-    let sidecar = Sidecar::start(&operated(&[&peer]));
+    let sidecar = Sidecar::start(&config_with_operator(&[&peer]));
     let load = Load::start(&sidecar, 4);
     let mut idle = sidecar.client();
-    assert_eq!(idle.ask("quote", "i1").status(), 200);
+    assert_eq!(idle.send_request("quote", "i1").status(), 200);
     assert_eq!(sidecar.call("LAMEDUCK"), "YES\n");
     assert_eq!(sidecar.call("LAMEDUCK"), "YES\n");
-    assert_eq!(sidecar.ready(), Some(503));
+    assert_eq!(sidecar.readiness_status(), Some(503));
     assert!(sidecar.call("PING").starts_with("NO"));
-    let answer = sidecar.ask("quote", "late");
+    let answer = sidecar.send_request("quote", "late");
     assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
     assert!(idle.receive().is_none(), "closed while it was idle");
     assert_eq!(sidecar.call("REJOIN"), "YES\n");
     assert_eq!(sidecar.call("REJOIN"), "YES\n");
-    assert_eq!(sidecar.ready(), Some(200));
+    assert_eq!(sidecar.readiness_status(), Some(200));
     let mut kept = sidecar.client();
-    assert_eq!(kept.ask("quote", "k1").header("connection"), "");
-    assert_eq!(kept.ask("quote", "k2").status(), 200, "on the same connection");
-    assert!(load.end() > 0);
+    assert_eq!(kept.send_request("quote", "k1").header("connection"), "");
+    assert_eq!(kept.send_request("quote", "k2").status(), 200, "on the same connection");
+    assert!(load.stop() > 0);
 }
 
 #[test]
 fn a_drain_goes_over_into_the_end() {
     let peer = Peer::serving("ok");
-    let mut sidecar = Sidecar::start(&operated(&[&peer]));
+    let mut sidecar = Sidecar::start(&config_with_operator(&[&peer]));
     sidecar.call("LAMEDUCK");
     let mut client = sidecar.client();
     client.send("GET /quo");
     sidecar.signal("-TERM");
     wait_for("the end to be known", || sidecar.log().contains("Terminating"));
     assert!(sidecar.call("REJOIN").starts_with("NO"));
-    assert!(sidecar.ended().success());
+    assert!(sidecar.wait_for_exit().success());
 }
 
 #[test]
 fn a_ban_holds_at_once_and_whatever_the_list_says() {
     let [first, second] = [Peer::serving("ok"), Peer::serving("ok")];
-    let mut config = operated(&[&first, &second]);
+    let mut config = config_with_operator(&[&first, &second]);
     let entry = |n: usize, peer: &Peer, state| target(&format!("s-{n}"), peer.address, state);
     let discovery = Discovery::new(list(8, true, &[entry(0, &first, "up"), entry(1, &second, "up")]));
     config["discovery"] = json!(discovery.address.to_string());
     let sidecar = Sidecar::start(&config);
     let load = |tag: &str| {
-        (0..20).for_each(|n| assert_eq!(sidecar.ask("quote", &format!("{tag}{n}")).status(), 200))
+        (0..20).for_each(|n| assert_eq!(sidecar.send_request("quote", &format!("{tag}{n}")).status(), 200))
     };
     assert_eq!(sidecar.call("DETACH s-0"), "YES\n");
     assert_eq!(sidecar.call("DETACH s-0"), "YES\n", "twice");
-    let before = first.count();
+    let before = first.request_count();
     load("a");
-    assert_eq!((sidecar.figure("hosts_listed"), sidecar.figure("hosts_down")), (2, 1));
+    assert_eq!((sidecar.metric("hosts_listed"), sidecar.metric("hosts_down")), (2, 1));
     // It leaves the list, and comes back restarted.
     for (rev, all, entries) in [
         (9, true, vec![entry(1, &second, "up")]),
@@ -175,17 +175,17 @@
         (11, false, vec![entry(0, &first, "removed")]),
         (12, true, vec![entry(0, &first, "up"), entry(1, &second, "up")]),
     ] {
-        discovery.say(&list(rev, all, &entries).to_string());
+        discovery.send_line(&list(rev, all, &entries).to_string());
         wait_for("the list", || sidecar.log().contains(&format!("rev={rev} ")));
         load(&format!("b{rev}-"));
     }
-    assert_eq!(first.count(), before, "nothing went there");
+    assert_eq!(first.request_count(), before, "nothing went there");
     assert_eq!(sidecar.call("ATTACH s-0"), "YES\n", "once undoes both");
-    assert_eq!(sidecar.figure("hosts_down"), 0);
+    assert_eq!(sidecar.metric("hosts_down"), 0);
     let start = Instant::now();
     wait_for("its use", || {
         load("c");
-        first.count() > before
+        first.request_count() > before
     });
     assert!(start.elapsed() < Duration::from_secs(5));
 }
@@ -193,14 +193,14 @@
 #[test]
 fn a_ban_of_what_has_left_the_list_can_be_undone() {
     let [first, second] = [Peer::serving("ok"), Peer::serving("ok")];
-    let mut config = operated(&[&first, &second]);
+    let mut config = config_with_operator(&[&first, &second]);
     let entries = [target("s-0", first.address, "up"), target("s-1", second.address, "up")];
     let discovery = Discovery::new(list(8, true, &entries));
     config["discovery"] = json!(discovery.address.to_string());
     let sidecar = Sidecar::start(&config);
     assert_eq!(sidecar.call("DETACH s-0"), "YES\n");
-    discovery.say(&list(9, true, &entries[1..]).to_string());
-    wait_for("the list", || sidecar.figure("hosts_listed") == 1);
+    discovery.send_line(&list(9, true, &entries[1..]).to_string());
+    wait_for("the list", || sidecar.metric("hosts_listed") == 1);
     assert_eq!(sidecar.call("ATTACH s-0"), "YES\n");
     assert!(sidecar.call("ATTACH s-0").starts_with("NO"), "nobody knows it any more");
 }
--- a/crates/curlewhub/tests/queued_discovery.rs
+++ b/crates/curlewhub/tests/queued_discovery.rs
@@ -40,7 +40,7 @@
     let of_peer = arrivals.clone();
     let peer = Peer::new(move |message| {
         of_peer.lock().unwrap().push((message.header("x-request-id").to_owned(), Instant::now()));
-        Do::Serve(body)
+        Action::Serve(body)
     });
     (peer, arrivals)
 }
@@ -105,7 +105,7 @@
     let peers = [&leaving, &staying];
     let configs: Vec<Value> = (0..SIDECARS).map(|n| sidecar_config(n, &peers, &discovery)).collect();
     let sidecars: Vec<Sidecar> = configs.iter().map(Sidecar::start).collect();
-    wait_for("a watch of each", || discovery.watching() == SIDECARS);
+    wait_for("a watch of each", || discovery.watching_clients() == SIDECARS);
     let stop = AtomicBool::new(false);
     let (drained, served) = thread::scope(|scope| {
         let stop = &stop;
@@ -125,7 +125,7 @@
             }
         });
         thread::sleep(DRAIN_AFTER);
-        let drained = discovery.change(vec![up("s-1", &staying)]);
+        let drained = discovery.replace_targets(vec![up("s-1", &staying)]);
         let answered = |records: &[Record], client| {
             let mut of_client = records.iter().filter(|record| record.client == client);
             of_client.any(|record| record.event == Event::Written(2))
@@ -162,7 +162,7 @@
     let discovery = QueuedDiscovery::start(targets, Duration::from_millis(50));
     let config = sidecar_config(0, &[&peer], &discovery);
     let sidecar = Sidecar::start(&config);
-    wait_for("its watch", || discovery.watching() == 1);
+    wait_for("its watch", || discovery.watching_clients() == 1);
     let called = |records: &[Record]| {
         records.iter().filter(|record| matches!(record.event, Event::Called(_))).count()
     };
--- a/crates/curlewhub/tests/reload.rs
+++ b/crates/curlewhub/tests/reload.rs
@@ -23,19 +23,23 @@
         let first = Discovery::new(list(900, false, &[]));
         let (sidecar, mut config) = following(&old, &first, mode);
         wait_for("the first watch", || first.calls().len() == 1);
-        assert_eq!(sidecar.ask("book", "r1").body, b"old");
+        assert_eq!(sidecar.send_request("book", "r1").body, b"old");
         // Its versions are its own: a lower one is no older list.
         let second = Discovery::new(list(3, true, &[target("s-new", new.address, "up")]));
         config["discovery"] = json!(second.address.to_string());
         sidecar.reload(&config.to_string());
-        wait_for("the new server's list", || sidecar.ask("quote", "r2").body == b"new");
+        wait_for("the new server's list", || sidecar.send_request("quote", "r2").body == b"new");
         wait_for("the new watch", || !second.calls().is_empty());
         // Its watch begins with the whole list: nothing more is owed, and no version of the old server is named.
         assert_eq!(second.calls(), ["/api/targets?watch=1&after=0"], "{mode}");
-        first.say(&list(901, true, &[target("s-0", old.address, "up")]).to_string());
-        second.say(&list(4, false, &[target("s-new", new.address, "up")]).to_string());
+        first.send_line(&list(901, true, &[target("s-0", old.address, "up")]).to_string());
+        second.send_line(&list(4, false, &[target("s-new", new.address, "up")]).to_string());
         for n in 0..20 {
-            assert_eq!(sidecar.ask("book", &format!("s{n}")).body, b"new", "the old server's late word");
+            assert_eq!(
+                sidecar.send_request("book", &format!("s{n}")).body,
+                b"new",
+                "the old server's late word"
+            );
         }
         assert_eq!(first.calls().len(), 1, "it is not asked again");
         assert_eq!(second.calls().len(), 1, "nor is the new one");
@@ -49,25 +53,25 @@
         let first = Discovery::new(list(8, false, &[]));
         let (sidecar, mut config) = following(&old, &first, mode);
         wait_for("the first watch", || first.calls().len() == 1);
-        let address = nowhere();
+        let address = unused_address();
         config["discovery"] = json!(address.to_string());
         sidecar.reload(&config.to_string());
         std::thread::sleep(Duration::from_millis(300));
-        assert_eq!(sidecar.ask("book", "r1").body, b"old", "the list held serves until then");
+        assert_eq!(sidecar.send_request("book", "r1").body, b"old", "the list held serves until then");
         let _second = Discovery::at(address, list(2, true, &[target("s-new", new.address, "up")]));
-        wait_for("the new server's list", || sidecar.ask("quote", "r2").body == b"new");
+        wait_for("the new server's list", || sidecar.send_request("quote", "r2").body == b"new");
     }
 }
 
 #[test]
 fn sighups_in_a_row_and_bad_files_leave_what_is_open_alone() {
-    let peer = Peer::new(|_| Do::Late(Duration::from_millis(700)));
+    let peer = Peer::new(|_| Action::ServeAfter(Duration::from_millis(700)));
     let discovery = Discovery::new(list(8, false, &[]));
     let (mut sidecar, config) = following(&peer, &discovery, "subscribe");
     wait_for("the first watch", || discovery.calls().len() == 1);
     let mut client = sidecar.client();
     client.send(&request("book", "r1", "20000m"));
-    wait_for("the attempt", || peer.count() == 1);
+    wait_for("the attempt", || peer.request_count() == 1);
     let (mut bad_address, mut bad_class, mut restart) = (config.clone(), config.clone(), config.clone());
     bad_address["discovery"] = json!("somewhere");
     bad_class["settings"]["classes"][1]["worth"] = json!(-1.0);
@@ -86,21 +90,21 @@
         sidecar.signal("-HUP");
     }
     assert_eq!(client.receive().expect("an answer all the same").status(), 200);
-    assert_eq!((sidecar.ask("book", "r2").status(), peer.count()), (200, 2));
+    assert_eq!((sidecar.send_request("book", "r2").status(), peer.request_count()), (200, 2));
     assert!(sidecar.child.try_wait().unwrap().is_none());
     assert_eq!(discovery.calls().len(), 1, "where nothing has moved the watch goes on");
 }
 
 #[test]
 fn sighup_in_a_drain_ends_nothing() {
-    let peer = Peer::new(|_| Do::Late(Duration::from_millis(1000)));
+    let peer = Peer::new(|_| Action::ServeAfter(Duration::from_millis(1000)));
     let mut sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
     client.send(&request("book", "r1", "20000m"));
-    wait_for("the attempt", || peer.count() == 1);
+    wait_for("the attempt", || peer.request_count() == 1);
     sidecar.signal("-TERM");
-    wait_for("the drain to begin", || sidecar.ready() != Some(200));
+    wait_for("the drain to begin", || sidecar.readiness_status() != Some(200));
     sidecar.signal("-HUP");
     assert_eq!(client.receive().expect("an answer in spite of both").status(), 200);
-    assert!(sidecar.ended().success());
+    assert!(sidecar.wait_for_exit().success());
 }
--- a/crates/curlewhub/tests/reset.rs
+++ b/crates/curlewhub/tests/reset.rs
@@ -56,13 +56,13 @@
             thread::spawn(move || cut(stream, &seen));
         }
     });
-    let sidecar = Sidecar::start(&config_at(&[address]));
+    let sidecar = Sidecar::start(&config_for_addresses(&[address]));
     let mut number = 0;
     // Where the machine is slow the last byte may already be on its way as the connection closes.
     wait_for("a request cut off and served all the same", || {
         number += 1;
         let id = format!("r{number}");
-        let served = sidecar.ask("book", &id).status() == 200;
+        let served = sidecar.send_request("book", &id).status() == 200;
         served && seen.lock().unwrap()[&id] == (1, 1)
     });
     assert!(seen.lock().unwrap().values().all(|(_, whole)| *whole <= 1), "nothing came whole twice");
--- a/crates/curlewhub/tests/sharing.rs
+++ b/crates/curlewhub/tests/sharing.rs
@@ -15,7 +15,7 @@
 
 /// A configuration for one endpoint whose discovery answers.
 fn with_discovery(peer: &Peer) -> (Value, Discovery) {
-    let mut config = operated(&[peer]);
+    let mut config = config_with_operator(&[peer]);
     let discovery = Discovery::new(list(8, true, &[target("s-0", peer.address, "up")]));
     config["discovery"] = json!(discovery.address.to_string());
     (config, discovery)
@@ -24,7 +24,7 @@
 /// Two side by side, the second one with its yes, and load at them.
 fn pair(config: &Value) -> (Sidecar, Sidecar, Load) {
     let old = Sidecar::start(config);
-    assert_eq!(old.figure("share_parts"), 64, "alone it has all");
+    assert_eq!(old.metric("share_parts"), 64, "alone it has all");
     let load = Load::start(&old, 4);
     let new = old.successor(config);
     wait_for("the successor's yes", || new.call("PING") == "YES\n");
@@ -36,12 +36,12 @@
     let peer = Peer::serving("ok");
     let (config, _discovery) = with_discovery(&peer);
     let (mut old, new, load) = pair(&config);
-    wait_for("shares", || (1..64).contains(&old.figure("share_parts")) && new.figure("share_parts") > 0);
-    new.says("restored=true");
+    wait_for("shares", || (1..64).contains(&old.metric("share_parts")) && new.metric("share_parts") > 0);
+    new.wait_for_log("restored=true");
     old.signal("-TERM");
-    assert!(old.ended().success());
-    wait_for("all", || new.figure("share_parts") == 64);
-    assert!(load.end() > 0);
+    assert!(old.wait_for_exit().success());
+    wait_for("all", || new.metric("share_parts") == 64);
+    assert!(load.stop() > 0);
 }
 
 #[test]
@@ -50,10 +50,10 @@
     let (config, _discovery) = with_discovery(&peer);
     let old = Sidecar::start(&config);
     let new = old.successor(&config);
-    wait_for("shares", || (1..64).contains(&new.figure("share_parts")));
+    wait_for("shares", || (1..64).contains(&new.metric("share_parts")));
     old.signal("-KILL");
-    wait_for("all", || new.figure("share_parts") == 64);
-    assert_eq!(new.ask("quote", "r1").status(), 200);
+    wait_for("all", || new.metric("share_parts") == 64);
+    assert_eq!(new.send_request("quote", "r1").status(), 200);
 }
 
 #[test]
@@ -62,11 +62,11 @@
     let (config, _discovery) = with_discovery(&peer);
     let old = Sidecar::start(&config);
     let mut new = old.successor(&config);
-    wait_for("shares", || (1..64).contains(&old.figure("share_parts")));
+    wait_for("shares", || (1..64).contains(&old.metric("share_parts")));
     new.signal("-KILL");
-    new.ended();
-    wait_for("all", || old.figure("share_parts") == 64);
-    assert_eq!(old.ask("quote", "r1").status(), 200);
+    new.wait_for_exit();
+    wait_for("all", || old.metric("share_parts") == 64);
+    assert_eq!(old.send_request("quote", "r1").status(), 200);
 }
 
 #[test]
@@ -75,26 +75,26 @@
     let (config, _discovery) = with_discovery(&peer);
     let old = Sidecar::start(&config);
     let new = old.successor(&config);
-    wait_for("shares", || (1..64).contains(&new.figure("share_parts")));
+    wait_for("shares", || (1..64).contains(&new.metric("share_parts")));
     assert_eq!(
-        old.figure("share_parts") + new.figure("share_parts"),
+        old.metric("share_parts") + new.metric("share_parts"),
         64,
         "idle, nothing moves between the two looks"
     );
     old.signal("-STOP");
-    wait_for("all", || new.figure("share_parts") == 64);
-    new.says("does not share, or not any more");
+    wait_for("all", || new.metric("share_parts") == 64);
+    new.wait_for_log("does not share, or not any more");
     old.signal("-CONT");
     wait_for("the old one to answer again", || {
         old.try_call("PING\n").is_ok_and(|said| said.starts_with("YES"))
     });
-    wait_for("the old one to go on too", || old.figure("share_parts") == 64);
+    wait_for("the old one to go on too", || old.metric("share_parts") == 64);
 }
 
 /// A process before that hands over what every version does, and then does this with the rest.
 fn scripted(first: &Sidecar, rest: impl FnOnce(UnixStream) + Send + 'static) -> JoinHandle<()> {
     let at = first.address;
-    let path = first.folder().join(format!("curlewhub-handover-{}-{}.sock", at.ip(), at.port()));
+    let path = first.state_dir().join(format!("curlewhub-handover-{}-{}.sock", at.ip(), at.port()));
     let _ = std::fs::remove_file(&path);
     let door = UnixListener::bind(path).unwrap();
     let clients = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -113,10 +113,10 @@
 /// A sidecar that was killed and has left its snapshot.
 fn killed(config: &Value) -> Sidecar {
     let mut first = Sidecar::start(config);
-    assert_eq!(first.ask("quote", "l1").status(), 200);
-    wait_for("the file", || first.figure("snapshot_ok") > 0);
+    assert_eq!(first.send_request("quote", "l1").status(), 200);
+    wait_for("the file", || first.metric("snapshot_ok") > 0);
     first.signal("-KILL");
-    first.ended();
+    first.wait_for_exit();
     first
 }
 
@@ -133,9 +133,9 @@
     let new = first.successor(&config);
     wait_for("its yes", || new.call("PING") == "YES\n");
     before.join().unwrap();
-    let line = new.says("snapshot: read");
+    let line = new.wait_for_log("snapshot: read");
     assert!(line.contains("from=\"file\"") && line.contains("restored=true"), "{line}");
-    wait_for("all", || new.figure("share_parts") == 64);
+    wait_for("all", || new.metric("share_parts") == 64);
 }
 
 #[test]
@@ -149,10 +149,10 @@
     });
     let mut new = first.successor(&config);
     wait_for("its yes", || new.call("PING") == "YES\n");
-    wait_for("all", || new.figure("share_parts") == 64);
-    new.says("does not share");
+    wait_for("all", || new.metric("share_parts") == 64);
+    new.wait_for_log("does not share");
     new.signal("-KILL");
-    new.ended();
+    new.wait_for_exit();
     before.join().unwrap();
 }
 
@@ -169,16 +169,16 @@
     let new = first.successor(&config);
     wait_for("its yes", || new.call("PING") == "YES\n");
     before.join().unwrap();
-    wait_for("all", || new.figure("share_parts") == 64);
+    wait_for("all", || new.metric("share_parts") == 64);
 }
 
 #[test]
 fn where_keys_can_not_be_written_traffic_goes_on_and_a_figure_says_so() {
     let peer = Peer::serving("ok");
-    let mut config = operated(&[&peer]);
+    let mut config = config_with_operator(&[&peer]);
     config["settings"]["classes"][2]["group"] = json!("zone");
     let sidecar = Sidecar::start_with(&config, "TMPDIR=/nonexistent/curlewhub");
-    assert_eq!(sidecar.ask("pay", "p1").status(), 200);
-    sidecar.says("keys: no journal");
-    assert_eq!((sidecar.figure("keys_failed"), sidecar.figure("keys")), (1, 1));
+    assert_eq!(sidecar.send_request("pay", "p1").status(), 200);
+    sidecar.wait_for_log("keys: no journal");
+    assert_eq!((sidecar.metric("keys_failed"), sidecar.metric("keys")), (1, 1));
 }
--- a/crates/curlewhub/tests/shutdown.rs
+++ b/crates/curlewhub/tests/shutdown.rs
@@ -34,7 +34,7 @@
 
 impl Drill {
     fn config(&self, peers: &[&Peer]) -> (Value, Discovery) {
-        let mut config = operated(peers);
+        let mut config = config_with_operator(peers);
         let entry = |(n, peer): (usize, &&Peer)| target(&format!("s-{n}"), peer.address, "up");
         let entries: Vec<Value> = peers.iter().enumerate().map(entry).collect();
         let discovery = Discovery::new(list(8, true, &entries));
@@ -58,19 +58,19 @@
 
     /// Plays it; what was lost, one line each.
     fn play(self) -> Vec<String> {
-        let hanging = Peer::new(|_| Do::Silence);
-        let other = if self.all_hang { Peer::new(|_| Do::Silence) } else { Peer::serving("ok") };
+        let hanging = Peer::new(|_| Action::NeverAnswer);
+        let other = if self.all_hang { Peer::new(|_| Action::NeverAnswer) } else { Peer::serving("ok") };
         let (config, _discovery) = self.config(&[&hanging, &other]);
         let mut old = Sidecar::start(&config);
         let next = self.succeeded.then(|| {
             let next = old.successor(&config);
             wait_for("the successor's yes", || next.call("PING") == "YES\n");
-            old.says("a successor has come");
+            old.wait_for_log("a successor has come");
             next
         });
         let resting = self.rested(old.address);
-        let busy: Vec<Wire> = (0..8).map(|_| Wire::connect(old.address)).collect();
-        let slow: Vec<Wire> = (0..4).map(|_| Wire::connect(old.address)).collect();
+        let busy: Vec<RawConnection> = (0..8).map(|_| RawConnection::connect(old.address)).collect();
+        let slow: Vec<RawConnection> = (0..4).map(|_| RawConnection::connect(old.address)).collect();
         let started = Instant::now();
         // All that is open is taken by the old process before it is told.
         wait_for("the clients to be accepted", || started.elapsed() > Duration::from_millis(100));
@@ -97,8 +97,8 @@
     }
 
     /// Clients whose first requests have been answered, in whatever way, and that keep their connections.
-    fn rested(&self, address: SocketAddr) -> Vec<Wire> {
-        let mut all: Vec<Wire> = (0..RESTING).map(|_| Wire::connect(address)).collect();
+    fn rested(&self, address: SocketAddr) -> Vec<RawConnection> {
+        let mut all: Vec<RawConnection> = (0..RESTING).map(|_| RawConnection::connect(address)).collect();
         for (n, wire) in all.iter_mut().enumerate() {
             wire.write(&request("quote", &format!("rest{n}"), &self.timeout()));
         }
@@ -109,7 +109,7 @@
     }
 
     /// One request; says what is lost of it, and whether the connection stays.
-    fn one(&self, wire: &mut Wire, id: &str) -> Result<bool, String> {
+    fn one(&self, wire: &mut RawConnection, id: &str) -> Result<bool, String> {
         let at = Instant::now();
         if !wire.try_write(&request("quote", id, &self.timeout())) {
             return Ok(false);
@@ -122,7 +122,7 @@
     }
 
     /// Sends one request after another while its connection stays open.
-    fn sends_on(&self, mut wire: Wire, n: usize, term: Instant) -> Vec<String> {
+    fn sends_on(&self, mut wire: RawConnection, n: usize, term: Instant) -> Vec<String> {
         let mut number = 0;
         while term.elapsed() < self.kill() && !wire.has_ended() {
             number += 1;
@@ -136,7 +136,7 @@
     }
 
     /// Rests, and sends one request at a time of its own between SIGTERM and SIGKILL.
-    fn speaks_late(&self, mut wire: Wire, n: usize, term: Instant) -> Vec<String> {
+    fn speaks_late(&self, mut wire: RawConnection, n: usize, term: Instant) -> Vec<String> {
         let at = self.kill().mul_f64((n + 1) as f64 / (RESTING + 1) as f64);
         thread::sleep((term + at).saturating_duration_since(Instant::now()));
         if wire.has_ended() {
@@ -147,7 +147,7 @@
     }
 
     /// Writes a body as slowly as a good client may, and its last byte when there is hardly any time left.
-    fn ends_its_body_late(&self, mut wire: Wire, n: usize, term: Instant) -> Vec<String> {
+    fn ends_its_body_late(&self, mut wire: RawConnection, n: usize, term: Instant) -> Vec<String> {
         const PIECE: usize = 4_000;
         const PAUSE: Duration = Duration::from_millis(50);
         let end = self.kill() - LAST_MOMENT + Duration::from_millis(20 * n as u64);
@@ -162,7 +162,7 @@
             let next = end.mul_f64((piece + 1) as f64 / pieces as f64);
             thread::sleep((term + next).saturating_duration_since(Instant::now()));
         }
-        if wire.has_ended() || wire.has_more(Duration::from_millis(1)) {
+        if wire.has_ended() || wire.has_unread(Duration::from_millis(1)) {
             return Vec::new();
         }
         let whole = wire.try_write("x");
@@ -211,25 +211,25 @@
 
 #[test]
 fn an_answer_without_a_length_that_the_end_cuts_off_is_reset_and_not_ended() {
-    let stage = Stage::new();
+    let stage = ScriptedListener::new();
     let drill = Drill { deadline: Duration::from_millis(500), succeeded: false, all_hang: true };
     let peer = Peer::serving("unused");
     let (mut config, _) = drill.config(&[&peer]);
     config["known"] = list(7, true, &[target("s-0", stage.address, "up")]);
-    config["discovery"] = json!(nowhere().to_string());
+    config["discovery"] = json!(unused_address().to_string());
     let mut sidecar = Sidecar::start(&config);
-    let mut client = Wire::connect(sidecar.address);
+    let mut client = RawConnection::connect(sidecar.address);
     client.write(&request("quote", "r1", &drill.timeout()).replace("HTTP/1.1", "HTTP/1.0"));
-    let (mut endpoint, _) = stage.request();
+    let (mut endpoint, _) = stage.accept_request();
     endpoint.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    endpoint.chunk(&"y".repeat(100_000));
+    endpoint.write_chunk(&"y".repeat(100_000));
     sidecar.signal("-TERM");
     // It goes on until the sidecar is gone.
-    let reader = thread::spawn(move || client.rest(PATIENCE));
+    let reader = thread::spawn(move || client.read_until_end(WAIT_TIMEOUT));
     while endpoint.try_write("3e8\r\n") && endpoint.try_write(&("y".repeat(1000) + "\r\n")) {
         thread::sleep(Duration::from_millis(20));
     }
-    assert!(sidecar.ended().success());
+    assert!(sidecar.wait_for_exit().success());
     let (bytes, end) = reader.join().unwrap();
     assert!(bytes.len() > 100_000, "it flowed: {} bytes", bytes.len());
     assert_eq!(end, End::Reset, "a plain end would pass for a whole answer");
--- a/crates/curlewhub/tests/spares.rs
+++ b/crates/curlewhub/tests/spares.rs
@@ -71,22 +71,22 @@
 #[test]
 fn requests_that_keep_finding_connections_at_rest_get_more_of_them_and_each_goes_on_resting() {
     let endpoint = Endpoint::start();
-    let sidecar = Sidecar::start(&config_at(&[endpoint.address]));
+    let sidecar = Sidecar::start(&config_for_addresses(&[endpoint.address]));
     let mut client = sidecar.client();
     let (start, mut asked) = (Instant::now(), 0);
     // Each request at once after the last one's answer: a pause between them would be rest enough.
     // One that comes in another one's stead makes no two for long.
     let mut both_open = 0;
     while both_open < 5 {
-        assert!(start.elapsed() < PATIENCE, "never came: a second connection");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "never came: a second connection");
         asked += 1;
-        assert_eq!(client.ask("book", &format!("r{asked}")).status(), 200);
+        assert_eq!(client.send_request("book", &format!("r{asked}")).status(), 200);
         both_open = if endpoint.open() >= 2 { both_open + 1 } else { 0 };
     }
     // None comes before requests can have waited for ten whole rests.
     assert!(asked > RESTS, "{asked}");
     for n in 0..20 {
-        assert_eq!(client.ask("book", &format!("s{n}")).status(), 200);
+        assert_eq!(client.send_request("book", &format!("s{n}")).status(), 200);
     }
     let shortest = endpoint.pauses.lock().unwrap().iter().min().copied();
     assert!(shortest >= Some(REST_SEEN), "{shortest:?}: a second copy might still have come");
@@ -96,19 +96,19 @@
 fn a_connection_outlives_the_client_whose_request_waited_for_its_rest() {
     let (start, mut kept) = (Instant::now(), 0);
     while kept < 3 {
-        assert!(start.elapsed() < PATIENCE, "a connection is lost with the client that waited for it");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "a connection is lost with the client that waited for it");
         let peer = Peer::serving("ok");
         let sidecar = Sidecar::start(&config(&[&peer]));
         let (mut client, mut leaving) = (sidecar.client(), sidecar.client());
-        assert_eq!(client.ask("quote", "first").status(), 200);
+        assert_eq!(client.send_request("quote", "first").status(), 200);
         leaving.send(&request("quote", "leaving", "10000m"));
         // The request is read, and waits for the rest; then its client leaves.
         thread::sleep(REST_SEEN / 4);
         drop(leaving);
         // Where its client's leaving is not noticed by the end of the rest, the request goes out, and counts.
         thread::sleep(2 * REST_SEEN);
-        assert_eq!(client.ask("quote", "last").status(), 200);
-        let never_sent = peer.count() == 2;
+        assert_eq!(client.send_request("quote", "last").status(), 200);
+        let never_sent = peer.request_count() == 2;
         kept += usize::from(never_sent && peer.connections.load(Ordering::SeqCst) == 1);
     }
 }
@@ -116,12 +116,12 @@
 #[test]
 fn no_connection_is_opened_to_save_a_wait_beyond_what_an_operator_allows() {
     let endpoint = Endpoint::start();
-    let mut config = config_at(&[endpoint.address]);
+    let mut config = config_for_addresses(&[endpoint.address]);
     config["limits"]["endpoint_connections"] = json!(1);
     let sidecar = Sidecar::start(&config);
     let mut client = sidecar.client();
     for n in 0..5 * RESTS {
-        assert_eq!(client.ask("book", &format!("r{n}")).status(), 200);
+        assert_eq!(client.send_request("book", &format!("r{n}")).status(), 200);
     }
     assert_eq!(endpoint.connections(), 1);
 }
--- a/crates/curlewhub/tests/storage.rs
+++ b/crates/curlewhub/tests/storage.rs
@@ -44,7 +44,7 @@
 
 /// One endpoint, and a class whose repeats keep to a zone.
 fn keyed(peer: &Peer) -> Value {
-    let mut config = operated(&[peer]);
+    let mut config = config_with_operator(&[peer]);
     config["settings"]["classes"][2]["group"] = json!("zone");
     config
 }
@@ -59,12 +59,12 @@
 
 fn kill(sidecar: &mut Sidecar) {
     sidecar.signal("-KILL");
-    sidecar.ended();
+    sidecar.wait_for_exit();
 }
 
 /// How many keys a sidecar has read at its start.
 fn keys_read(sidecar: &Sidecar) -> String {
-    let line = sidecar.says("keys: read what processes before have left");
+    let line = sidecar.wait_for_log("keys: read what processes before have left");
     line.split("keys=").nth(1).unwrap_or_default().trim().to_owned()
 }
 
@@ -84,9 +84,9 @@
         pay(&first, "before");
         disk.switch(0, Switch::On).unwrap();
         (0..5).for_each(|number| pay(&first, &format!("during-{number}")));
-        assert_eq!((first.figure("keys_failed"), first.figure("keys")), (5, 6), "{errno:?}");
+        assert_eq!((first.metric("keys_failed"), first.metric("keys")), (5, 6), "{errno:?}");
         disk.switch(0, Switch::Off).unwrap();
-        first.says("keys: all that was owed is written");
+        first.wait_for_log("keys: all that was owed is written");
         kill(&mut first);
         let second = first.successor_with(&config, &folders.prefix());
         wait_for("its yes", || second.call("PING") == "YES\n");
@@ -101,10 +101,10 @@
         let config = keyed(&peer);
         let disk = folders.injection("disk", vec![fails(&[call], Errno::Enospc, &folders.state(), 0)]);
         let mut first = Sidecar::start_with(&config, &(folders.prefix() + &disk.shell_prefix()));
-        first.says("keys: no journal");
+        first.wait_for_log("keys: no journal");
         (0..3).for_each(|number| pay(&first, &format!("p{number}")));
         disk.switch(0, Switch::Off).unwrap();
-        first.says("keys: all that was owed is written");
+        first.wait_for_log("keys: all that was owed is written");
         kill(&mut first);
         let second = first.successor_with(&config, &folders.prefix());
         wait_for("its yes", || second.call("PING") == "YES\n");
@@ -123,13 +123,13 @@
         let disk = folders.injection("disk", vec![torn]);
         let mut first = Sidecar::start_with(&config, &(folders.prefix() + &disk.shell_prefix()));
         wait_for("a snapshot: the next file to be written is the journal", || {
-            first.figure("snapshot_ok") > 0
+            first.metric("snapshot_ok") > 0
         });
         (0..3).for_each(|number| pay(&first, &format!("p{number}")));
         disk.switch(0, Switch::On).unwrap();
         let mut client = first.client();
         client.send(&request("pay", "last", "10000m"));
-        first.ended();
+        first.wait_for_exit();
         let second = first.successor_with(&config, &folders.prefix());
         wait_for("its yes", || second.call("PING") == "YES\n");
         assert_eq!(keys_read(&second), "3", "{bytes} bytes");
@@ -144,7 +144,7 @@
         let discovery = Discovery::new(list(8, true, &[target("s-0", peer.address, "up")]));
         config["discovery"] = json!(discovery.address.to_string());
         let mut first = Sidecar::start_with(&config, &folders.prefix());
-        wait_for("a snapshot", || first.figure("snapshot_ok") > 0);
+        wait_for("a snapshot", || first.metric("snapshot_ok") > 0);
         pay(&first, "p1");
         kill(&mut first);
         let step = Entry::new(&[], Effect::ClockStep { offset_ms: step_ms });
@@ -152,7 +152,7 @@
         let second = first.successor_with(&config, &(folders.prefix() + &stepped.shell_prefix()));
         wait_for("its yes", || second.call("PING") == "YES\n");
         assert_eq!(keys_read(&second), "1", "{step_ms} ms");
-        let line = second.says("snapshot: read");
+        let line = second.wait_for_log("snapshot: read");
         assert!(line.contains("restored=true"), "{step_ms} ms: {line}");
         let age = line.split("age_ms=").nth(1).and_then(|rest| rest.split(' ').next()).unwrap();
         let age: u64 = age.parse().unwrap();
--- a/crates/curlewhub/tests/streaming.rs
+++ b/crates/curlewhub/tests/streaming.rs
@@ -114,7 +114,7 @@
 
 fn connect(sidecar: &Sidecar) -> BufReader<TcpStream> {
     let stream = TcpStream::connect(sidecar.address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     BufReader::new(stream)
 }
 
@@ -127,7 +127,7 @@
 
 #[test]
 fn more_than_memory_holds_goes_through_both_ways_at_once() {
-    let mut config = config_at(&[endpoint(echo), endpoint(echo)]);
+    let mut config = config_for_addresses(&[endpoint(echo), endpoint(echo)]);
     config["limits"]["memory_mb"] = json!(32);
     let sidecar = Sidecar::start(&config);
     thread::scope(|scope| {
@@ -177,7 +177,7 @@
                 }
             }
         });
-        let sidecar = Sidecar::start(&config_at(&[address]));
+        let sidecar = Sidecar::start(&config_for_addresses(&[address]));
         let mut client = connect(&sidecar);
         for n in 0..2 {
             client.get_mut().write_all(request("book", &format!("r{n}"), "15000m").as_bytes()).unwrap();
@@ -212,8 +212,8 @@
                 let _ = writer.write_all(&bytes(0, 200_000));
             }
         });
-        let mut config = config_at(&[address]);
-        config["operator"] = json!(nowhere().to_string());
+        let mut config = config_for_addresses(&[address]);
+        config["operator"] = json!(unused_address().to_string());
         let sidecar = Sidecar::start(&config);
         let mut client = connect(&sidecar);
         client.get_mut().write_all(request("book", "r1", "15000m").as_bytes()).unwrap();
@@ -222,8 +222,8 @@
             Some(length) => assert!(!right(&mut client, length), "it ends early"),
             None => assert!(chunks(&mut client).is_none(), "it has no last chunk"),
         }
-        wait_for("its count", || sidecar.figure("failure.book") == 1);
-        assert_eq!((sidecar.figure("success.book"), sidecar.figure("inflight")), (0, 0));
+        wait_for("its count", || sidecar.metric("failure.book") == 1);
+        assert_eq!((sidecar.metric("success.book"), sidecar.metric("inflight")), (0, 0));
     }
 }
 
@@ -231,7 +231,7 @@
 fn an_answer_without_end_is_cut_at_the_longest() {
     let peer = Peer::new(|_| {
         let start = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        Do::Flood(start.to_owned(), format!("{:x}\r\n{}\r\n", 50_000, "x".repeat(50_000)))
+        Action::Flood(start.to_owned(), format!("{:x}\r\n{}\r\n", 50_000, "x".repeat(50_000)))
     });
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = connect(&sidecar);
@@ -239,7 +239,7 @@
     let mut all = Vec::new();
     let _ = client.read_to_end(&mut all); // a reset is a cut too
     assert!(all.len() < LONGEST + LONGEST / 8 && !all.ends_with(b"0\r\n\r\n"), "{} bytes", all.len());
-    wait_for("the endpoint's connection to be closed", || peer.closed() == 1);
+    wait_for("the endpoint's connection to be closed", || peer.closed_by_sidecar() == 1);
 }
 
 #[test]
@@ -254,14 +254,14 @@
         client.send(piece);
     }
     assert_eq!(client.receive().expect("an answer").status(), 200);
-    assert_eq!(client.ask("book", "r2").status(), 200, "the connection is still in use");
-    let seen = peer.seen.lock().unwrap()[0].clone();
+    assert_eq!(client.send_request("book", "r2").status(), 200, "the connection is still in use");
+    let seen = peer.requests.lock().unwrap()[0].clone();
     assert_eq!((&seen.body[..], seen.header("content-length")), (&b"body"[..], "4"));
 }
 
 #[test]
 fn a_client_that_waits_for_leave_to_go_on_gets_it() {
-    let sidecar = Sidecar::start(&config_at(&[endpoint(echo)]));
+    let sidecar = Sidecar::start(&config_for_addresses(&[endpoint(echo)]));
     let mut client = connect(&sidecar);
     let start = post("book", "r1", 200_000).replace("X-Timeout", "Expect: 100-continue\r\nX-Timeout");
     client.get_mut().write_all(start.as_bytes()).unwrap();
@@ -278,13 +278,13 @@
     let mut client = sidecar.client();
     client.send(&request("quote", "r1", "15000m").replace("GET /", "GET http://origin.svc/"));
     assert_eq!(client.receive().expect("an answer").status(), 200);
-    assert_eq!(peer.seen.lock().unwrap()[0].target(), "/quote/x?user=7f3a9c21e0b4d655&n=1");
+    assert_eq!(peer.requests.lock().unwrap()[0].target(), "/quote/x?user=7f3a9c21e0b4d655&n=1");
 }
 
 #[test]
 fn a_long_request_goes_elsewhere_while_its_beginning_is_kept() {
     // One that is not there, not two: a sample of two may be those two time and again.
-    let sidecar = Sidecar::start(&config_at(&[nowhere(), endpoint(echo)]));
+    let sidecar = Sidecar::start(&config_for_addresses(&[unused_address(), endpoint(echo)]));
     for n in 0..6 {
         // Longer than is kept: it is sent while it still comes.
         let length = 3_000_000;
@@ -306,7 +306,7 @@
             let _ = reader.read_to_end(&mut Vec::new());
         }
     });
-    let sidecar = Sidecar::start(&config_at(&[address]));
+    let sidecar = Sidecar::start(&config_for_addresses(&[address]));
     let mut client = connect(&sidecar);
     let length = 20_000_000;
     client.get_mut().write_all(post("book", "r1", length).as_bytes()).unwrap();
@@ -324,10 +324,10 @@
             let _ = seen.send(right(&mut reader, stated(&head).unwrap()));
         }
     });
-    let sidecar = Sidecar::start(&config_at(&[address]));
+    let sidecar = Sidecar::start(&config_for_addresses(&[address]));
     let mut client = connect(&sidecar);
     client.get_mut().write_all(post("book", "r1", 5_000_000).as_bytes()).unwrap();
     write_body(client.get_mut(), 2_000_000, 100_000);
     assert!(head(&mut client).is_none_or(|head| head[0].starts_with("http/1.1 408")));
-    assert_eq!(heard.recv_timeout(PATIENCE), Ok(false), "the endpoint saw it break off");
+    assert_eq!(heard.recv_timeout(WAIT_TIMEOUT), Ok(false), "the endpoint saw it break off");
 }
--- a/crates/curlewhub/tests/support/discovery.rs
+++ b/crates/curlewhub/tests/support/discovery.rs
@@ -1,36 +1,36 @@
-//! A discovery service that answers each call at once.
+//! A discovery service that answers each call immediately.
 
-use super::{Message, answer, listener_of_its_own, wait_for};
+use super::{Message, answer, listener_on_unique_ip, wait_for};
 use serde_json::Value;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// A discovery that holds every watch open and writes what it is given to the newest one.
+/// A discovery service that keeps every watch open and writes lines to the newest one on request.
 pub struct Discovery {
     pub address: SocketAddr,
-    /// Targets of the calls it has had.
+    /// Request targets of the calls received so far.
     pub calls: Arc<Mutex<Vec<String>>>,
-    newest: Arc<Mutex<Option<TcpStream>>>,
+    newest_watch: Arc<Mutex<Option<TcpStream>>>,
 }
 
 impl Discovery {
-    /// Answers each watch with this line first, and each other call with it alone.
+    /// Sends `first` as the first line of each watch and as the whole answer to every other call.
     pub fn new(first: Value) -> Discovery {
-        Discovery::on(listener_of_its_own(), first)
+        Discovery::with_listener(listener_on_unique_ip(), first)
     }
 
     pub fn at(address: SocketAddr, first: Value) -> Discovery {
-        Discovery::on(TcpListener::bind(address).unwrap(), first)
+        Discovery::with_listener(TcpListener::bind(address).unwrap(), first)
     }
 
-    fn on(listener: TcpListener, first: Value) -> Discovery {
-        let (calls, newest) = (Arc::<Mutex<Vec<String>>>::default(), Arc::<Mutex<_>>::default());
+    fn with_listener(listener: TcpListener, first: Value) -> Discovery {
+        let (calls, newest_watch) = (Arc::<Mutex<Vec<String>>>::default(), Arc::<Mutex<_>>::default());
         let discovery = Discovery {
             address: listener.local_addr().unwrap(),
             calls: calls.clone(),
-            newest: newest.clone(),
+            newest_watch: newest_watch.clone(),
         };
         thread::spawn(move || {
             let mut open = Vec::new();
@@ -44,7 +44,7 @@
                 let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                 let _ = stream.write_all(head.as_bytes());
                 write_line(&mut stream, &first.to_string());
-                *newest.lock().unwrap() = stream.try_clone().ok();
+                *newest_watch.lock().unwrap() = stream.try_clone().ok();
                 calls.lock().unwrap().push(message.target().to_owned());
                 open.push(stream);
             }
@@ -53,15 +53,15 @@
     }
 
     /// Writes a line to the newest watch.
-    pub fn say(&self, line: &str) {
-        wait_for("a watch", || self.newest.lock().unwrap().is_some());
-        write_line(self.newest.lock().unwrap().as_mut().unwrap(), line);
+    pub fn send_line(&self, line: &str) {
+        wait_for("a watch", || self.newest_watch.lock().unwrap().is_some());
+        write_line(self.newest_watch.lock().unwrap().as_mut().unwrap(), line);
     }
 
-    /// Writes a piece of a line to the newest watch.
-    pub fn say_part(&self, part: &str) {
-        wait_for("a watch", || self.newest.lock().unwrap().is_some());
-        write_chunk(self.newest.lock().unwrap().as_mut().unwrap(), part);
+    /// Writes part of a line, without its end, to the newest watch.
+    pub fn send_partial_line(&self, part: &str) {
+        wait_for("a watch", || self.newest_watch.lock().unwrap().is_some());
+        write_chunk(self.newest_watch.lock().unwrap().as_mut().unwrap(), part);
     }
 
     pub fn calls(&self) -> Vec<String> {
--- a/crates/curlewhub/tests/support/mod.rs
+++ b/crates/curlewhub/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! The built sidecar, and tiny scripted peers for it on loopback.
+//! Starts the built sidecar as a process, with scripted clients and endpoints for it on loopback.
 #![allow(dead_code)]
 
 pub mod discovery;
@@ -15,19 +15,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Nothing that a test waits for may take longer, not even on a slow machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Limit of every wait, also on a slow machine.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits for a condition.
+/// Waits until the condition holds; `what` names it in the failure.
 pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < PATIENCE, "never came: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting for {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A message read from a socket.
+/// An HTTP request or response read from a socket.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub first_line: String,
@@ -48,7 +48,7 @@
         self.first_line.split(' ').nth(1).unwrap_or("")
     }
 
-    /// Reads one; `None` where the connection ends or breaks before it is whole.
+    /// Reads a message; `None` if the connection ends or fails before it is complete.
     pub fn read(from: &mut impl BufRead) -> Option<Message> {
         let mut message = Message::default();
         let line = |from: &mut dyn BufRead| {
@@ -68,28 +68,28 @@
     }
 }
 
-/// What a peer does with a request.
+/// What a peer does when it receives a request.
 #[derive(Clone, Debug)]
-pub enum Do {
+pub enum Action {
     /// Answers 200 with this body.
     Serve(&'static str),
     /// Writes these bytes and keeps the connection.
     Write(String),
     /// Writes these bytes and closes.
     WriteAndClose(String),
-    /// Serves, then closes its side and waits for the sidecar to close the other.
-    ServeAndEnd(&'static str),
-    /// Says nothing until the sidecar closes.
-    Silence,
-    /// Serves after so long.
-    Late(Duration),
-    /// Serves, and so much later writes these bytes too.
-    ServeAndWrite(&'static str, Duration, String),
-    /// Serves a connection's first request and breaks off at its second.
-    ServeOnce(&'static str),
-    /// Writes these bytes, and serves so much later.
+    /// Serves, then shuts down sending and waits for the sidecar to close the connection.
+    ServeAndHalfClose(&'static str),
+    /// Sends nothing until the sidecar closes the connection.
+    NeverAnswer,
+    /// Serves after this delay.
+    ServeAfter(Duration),
+    /// Serves, and after this delay also writes these bytes.
+    ServeThenWrite(&'static str, Duration, String),
+    /// Serves a connection's first request, and closes without an answer at its second.
+    ServeOnlyFirst(&'static str),
+    /// Writes these bytes, and serves after this delay.
     WriteThenServe(String, Duration),
-    /// Writes this over and over until the sidecar closes.
+    /// Writes the first text once and the second one repeatedly until the sidecar closes the connection.
     Flood(String, String),
 }
 
@@ -97,39 +97,44 @@
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// An endpoint that follows a script.
+/// An endpoint that handles each request as its script says.
 pub struct Peer {
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Vec<Message>>>,
+    /// Requests received so far.
+    pub requests: Arc<Mutex<Vec<Message>>>,
     pub connections: Arc<AtomicUsize>,
-    /// Connections that the sidecar has closed.
-    pub closed: Arc<AtomicUsize>,
-    /// Answers behind which more was written.
+    /// The number of connections that the sidecar has closed.
+    pub closed_by_sidecar: Arc<AtomicUsize>,
+    /// The number of answers after which `ServeThenWrite` wrote its further bytes.
     pub written: Arc<AtomicUsize>,
 }
 
 impl Peer {
-    /// One that serves everything with this body.
+    /// A peer that serves every request with this body.
     pub fn serving(body: &'static str) -> Peer {
-        Peer::new(move |_| Do::Serve(body))
+        Peer::new(move |_| Action::Serve(body))
     }
 
-    pub fn new(script: impl Fn(&Message) -> Do + Send + Sync + 'static) -> Peer {
+    pub fn new(script: impl Fn(&Message) -> Action + Send + Sync + 'static) -> Peer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (seen, connections, closed, written) = Default::default();
-        let peer = Peer { address, seen, connections, closed, written };
-        let (seen, connections, closed, written) =
-            (peer.seen.clone(), peer.connections.clone(), peer.closed.clone(), peer.written.clone());
+        let (requests, connections, closed_by_sidecar, written) = Default::default();
+        let peer = Peer { address, requests, connections, closed_by_sidecar, written };
+        let (requests, connections, closed_by_sidecar, written) = (
+            peer.requests.clone(),
+            peer.connections.clone(),
+            peer.closed_by_sidecar.clone(),
+            peer.written.clone(),
+        );
         let script = Arc::new(script);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 connections.fetch_add(1, Ordering::SeqCst);
-                let (seen, closed, written, script) =
-                    (seen.clone(), closed.clone(), written.clone(), script.clone());
+                let (requests, closed_by_sidecar, written, script) =
+                    (requests.clone(), closed_by_sidecar.clone(), written.clone(), script.clone());
                 thread::spawn(move || {
-                    if let Some(by_sidecar) = follow(stream, &seen, &written, &*script) {
-                        closed.fetch_add(usize::from(by_sidecar), Ordering::SeqCst);
+                    if let Some(by_sidecar) = serve_connection(stream, &requests, &written, &*script) {
+                        closed_by_sidecar.fetch_add(usize::from(by_sidecar), Ordering::SeqCst);
                     }
                 });
             }
@@ -137,75 +142,75 @@
         peer
     }
 
-    /// Requests seen.
-    pub fn count(&self) -> usize {
-        self.seen.lock().unwrap().len()
+    /// The number of requests received.
+    pub fn request_count(&self) -> usize {
+        self.requests.lock().unwrap().len()
     }
 
-    pub fn closed(&self) -> usize {
-        self.closed.load(Ordering::SeqCst)
+    pub fn closed_by_sidecar(&self) -> usize {
+        self.closed_by_sidecar.load(Ordering::SeqCst)
     }
 }
 
-/// Serves one connection; whether it was the sidecar that closed it.
-fn follow(
+/// Serves one connection; whether the sidecar closed it first. `None` if a write or read failed.
+fn serve_connection(
     stream: TcpStream,
-    seen: &Mutex<Vec<Message>>,
+    requests: &Mutex<Vec<Message>>,
     written: &AtomicUsize,
-    script: &dyn Fn(&Message) -> Do,
+    script: &dyn Fn(&Message) -> Action,
 ) -> Option<bool> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     let mut writer = stream;
-    let rest = |reader: &mut BufReader<TcpStream>| {
+    let read_to_end = |reader: &mut BufReader<TcpStream>| {
         let _ = reader.read_to_end(&mut Vec::new());
     };
     while let Some(message) = Message::read(&mut reader) {
-        let act = script(&message);
-        seen.lock().unwrap().push(message);
-        match act {
-            Do::Serve(body) => writer.write_all(answer("200 OK", "", body).as_bytes()).ok()?,
-            Do::Write(text) => writer.write_all(text.as_bytes()).ok()?,
-            Do::WriteAndClose(text) => {
+        let action = script(&message);
+        requests.lock().unwrap().push(message);
+        match action {
+            Action::Serve(body) => writer.write_all(answer("200 OK", "", body).as_bytes()).ok()?,
+            Action::Write(text) => writer.write_all(text.as_bytes()).ok()?,
+            Action::WriteAndClose(text) => {
                 writer.write_all(text.as_bytes()).ok()?;
                 return Some(false);
             }
-            Do::ServeAndEnd(body) => {
+            Action::ServeAndHalfClose(body) => {
                 writer.write_all(answer("200 OK", "", body).as_bytes()).ok()?;
                 writer.shutdown(Shutdown::Write).ok()?;
-                rest(&mut reader);
+                read_to_end(&mut reader);
                 return Some(true);
             }
-            Do::Silence => {
-                rest(&mut reader);
+            Action::NeverAnswer => {
+                read_to_end(&mut reader);
                 return Some(true);
             }
-            Do::ServeAndWrite(body, wait, more) => {
-                let whole = answer("200 OK", "", body);
+            Action::ServeThenWrite(body, wait, more) => {
+                let full_answer = answer("200 OK", "", body);
                 if wait.is_zero() {
-                    writer.write_all((whole + &more).as_bytes()).ok()?;
+                    writer.write_all((full_answer + &more).as_bytes()).ok()?;
                 } else {
-                    writer.write_all(whole.as_bytes()).ok()?;
+                    writer.write_all(full_answer.as_bytes()).ok()?;
                     thread::sleep(wait);
                     writer.write_all(more.as_bytes()).ok()?;
                 }
                 written.fetch_add(1, Ordering::SeqCst);
             }
-            Do::ServeOnce(body) => {
+            Action::ServeOnlyFirst(body) => {
                 writer.write_all(answer("200 OK", "", body).as_bytes()).ok()?;
                 Message::read(&mut reader)?;
                 return Some(false);
             }
-            Do::WriteThenServe(text, wait) => {
+            Action::WriteThenServe(text, wait) => {
                 writer.write_all(text.as_bytes()).ok()?;
                 thread::sleep(wait);
                 writer.write_all(answer("200 OK", "", "late").as_bytes()).ok()?;
             }
-            Do::Flood(first, more) => {
+            Action::Flood(first, more) => {
                 writer.write_all(first.as_bytes()).ok()?;
                 while writer.write_all(more.as_bytes()).is_ok() {}
                 return Some(true);
             }
-            Do::Late(wait) => {
+            Action::ServeAfter(wait) => {
                 thread::sleep(wait);
                 writer.write_all(answer("200 OK", "", "late").as_bytes()).ok()?;
             }
@@ -214,7 +219,7 @@
     Some(true)
 }
 
-/// An entry of a list.
+/// An endpoint's entry in discovery's list.
 pub fn target(uid: &str, address: SocketAddr, state: &str) -> Value {
     json!({"uid": uid, "endpoint": address.to_string(), "az": "a", "model": "m", "pod_group": 1,
            "state": state, "capacity_hint": 1.0, "boot_ms": 0})
@@ -224,31 +229,31 @@
     json!({"rev": rev, "all": all, "targets": targets})
 }
 
-/// An address where nothing listens, nor will: each is on a loopback address of its own, so that no other
-/// test's sidecar, and no client's port, ever comes to be there.
-pub fn nowhere() -> SocketAddr {
-    listener_of_its_own().local_addr().unwrap()
+/// An address where nothing listens. Each call returns another loopback IP, so that no other test's sidecar and no
+/// client's local port is ever bound to the address.
+pub fn unused_address() -> SocketAddr {
+    listener_on_unique_ip().local_addr().unwrap()
 }
 
-/// One that is never given up between the choice of its port and its use.
-fn listener_of_its_own() -> TcpListener {
-    TcpListener::bind((ip_of_its_own(), 0)).unwrap()
+/// A listener that stays bound from the choice of its port on, so that nothing else can take the port before its use.
+fn listener_on_unique_ip() -> TcpListener {
+    TcpListener::bind((unique_loopback_ip(), 0)).unwrap()
 }
 
-fn ip_of_its_own() -> std::net::IpAddr {
-    static GIVEN: AtomicUsize = AtomicUsize::new(0);
-    let (process, number) = (std::process::id() as usize, GIVEN.fetch_add(1, Ordering::SeqCst));
+fn unique_loopback_ip() -> std::net::IpAddr {
+    static ASSIGNED: AtomicUsize = AtomicUsize::new(0);
+    let (process, number) = (std::process::id() as usize, ASSIGNED.fetch_add(1, Ordering::SeqCst));
     let part = |number: usize| 1 + (number % 250) as u8;
     [127, part(process / 250), part(process), part(number)].into()
 }
 
-/// A configuration for these endpoints, with discovery out of reach.
+/// A configuration for these endpoints, with an unreachable discovery service.
 pub fn config(peers: &[&Peer]) -> Value {
     let addresses: Vec<_> = peers.iter().map(|peer| peer.address).collect();
-    config_at(&addresses)
+    config_for_addresses(&addresses)
 }
 
-pub fn config_at(addresses: &[SocketAddr]) -> Value {
+pub fn config_for_addresses(addresses: &[SocketAddr]) -> Value {
     let targets: Vec<_> =
         addresses.iter().enumerate().map(|(i, at)| target(&format!("s-{i}"), *at, "up")).collect();
     let class = |name: &str, semantics: &str| {
@@ -256,7 +261,7 @@
                "objectiveMs": 10000.0, "deadlineMs": 20000.0, "worth": 1.0, "lateValue": 0.5})
     };
     json!({
-        "name": "n0", "listen": nowhere().to_string(), "discovery": nowhere().to_string(),
+        "name": "n0", "listen": unused_address().to_string(), "discovery": unused_address().to_string(),
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": list(7, true, &targets),
@@ -275,27 +280,27 @@
     })
 }
 
-/// The same with a second address.
-pub fn operated(peers: &[&Peer]) -> Value {
+/// `config` with an operator address.
+pub fn config_with_operator(peers: &[&Peer]) -> Value {
     let mut config = config(peers);
-    config["operator"] = json!(nowhere().to_string());
+    config["operator"] = json!(unused_address().to_string());
     config
 }
 
-/// A running sidecar; killed when dropped.
+/// A sidecar process; killed when dropped.
 pub struct Sidecar {
     pub child: Child,
     pub address: SocketAddr,
-    /// The second address, if it has one.
+    /// The operator address, if it has one.
     pub operator: Option<SocketAddr>,
     file: std::path::PathBuf,
     /// Where it keeps its state; a successor shares it.
-    folder: std::path::PathBuf,
+    state_dir: std::path::PathBuf,
 }
 
 static STARTED: AtomicUsize = AtomicUsize::new(0);
 
-/// The built program with this configuration, to be run through `prefix` in a shell.
+/// A shell command that runs the built program with this configuration, after the shell text `prefix`.
 fn command(config: &str, prefix: &str) -> (Command, std::path::PathBuf) {
     let number = STARTED.fetch_add(1, Ordering::SeqCst);
     let file = std::env::temp_dir().join(format!("curlewhub-test-{}-{number}.json", std::process::id()));
@@ -309,15 +314,15 @@
     for name in ["ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_OPERATOR"] {
         command.env_remove(name);
     }
-    // Its own, as in service: what one sidecar keeps is not another one's.
-    let folder = file.with_extension("tmp");
-    std::fs::create_dir_all(&folder).unwrap();
-    command.env("ROUTER_CONFIG", &file).env("TMPDIR", folder);
+    // Each sidecar has its own state directory, as in production.
+    let state_dir = file.with_extension("tmp");
+    std::fs::create_dir_all(&state_dir).unwrap();
+    command.env("ROUTER_CONFIG", &file).env("TMPDIR", state_dir);
     (command, file)
 }
 
-/// What the program says and how it ends where it can't start.
-pub fn refuses(config: &str) -> (ExitStatus, String) {
+/// Runs the program until it exits; its exit status and standard error. For configurations that it refuses.
+pub fn run_to_exit(config: &str) -> (ExitStatus, String) {
     let (mut command, file) = command(config, "");
     let output = command.output().unwrap();
     let _ = std::fs::remove_dir_all(file.with_extension("tmp"));
@@ -325,8 +330,8 @@
     (output.status, String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
-/// As `refuses`, for one that may start all the same: it is ended then, and has not refused.
-pub fn refuses_soon(config: &str) -> (ExitStatus, String) {
+/// As `run_to_exit`, for a configuration that may be accepted: the program is then ended after 5 s.
+pub fn run_for_5s(config: &str) -> (ExitStatus, String) {
     let (mut command, file) = command(config, "timeout 5");
     let output = command.output().unwrap();
     let _ = std::fs::remove_dir_all(file.with_extension("tmp"));
@@ -345,44 +350,45 @@
         let child = command.stderr(log).spawn().unwrap();
         let address = config["listen"].as_str().unwrap().parse().unwrap();
         let operator = config["operator"].as_str().map(|at| at.parse().unwrap());
-        let folder = file.with_extension("tmp");
-        let sidecar = Sidecar { child, address, operator, file, folder };
-        wait_for("readiness", || sidecar.ready() == Some(200));
+        let state_dir = file.with_extension("tmp");
+        let sidecar = Sidecar { child, address, operator, file, state_dir };
+        wait_for("readiness", || sidecar.readiness_status() == Some(200));
         sidecar
     }
 
-    /// One that has been started by other means, from this file; it need not be ready yet.
-    pub fn running(
+    /// Wraps a process that was started by other means from this file. It need not be ready yet.
+    pub fn from_child(
         child: Child,
         address: SocketAddr,
         operator: SocketAddr,
         file: std::path::PathBuf,
     ) -> Sidecar {
-        let folder = file.with_extension("tmp");
-        Sidecar { child, address, operator: Some(operator), file, folder }
+        let state_dir = file.with_extension("tmp");
+        Sidecar { child, address, operator: Some(operator), file, state_dir }
     }
 
-    /// Starts a second process beside this one: another second address, and all else the same. It need
-    /// not be ready yet.
+    /// Starts a second process beside this one, with another operator address and otherwise the same configuration.
+    /// It need not be ready yet.
     pub fn successor(&self, config: &Value) -> Sidecar {
         self.successor_with(config, "")
     }
 
-    /// The same with words of the shell in front of the program.
+    /// As `successor`, with shell text in front of the program.
     pub fn successor_with(&self, config: &Value, prefix: &str) -> Sidecar {
         let mut config = config.clone();
-        config["operator"] = json!(nowhere().to_string());
+        config["operator"] = json!(unused_address().to_string());
         let (mut command, file) = command(&config.to_string(), prefix);
         let log = std::fs::File::create(file.with_extension("log")).unwrap();
-        let child = command.env("TMPDIR", &self.folder).stderr(log).spawn().unwrap();
+        let child = command.env("TMPDIR", &self.state_dir).stderr(log).spawn().unwrap();
         let operator = config["operator"].as_str().map(|at| at.parse().unwrap());
-        let next = Sidecar { child, address: self.address, operator, file, folder: self.folder.clone() };
-        wait_for("the second address", || TcpStream::connect(operator.unwrap()).is_ok());
+        let next =
+            Sidecar { child, address: self.address, operator, file, state_dir: self.state_dir.clone() };
+        wait_for("the operator address", || TcpStream::connect(operator.unwrap()).is_ok());
         next
     }
 
-    /// What `/-/ready` answers.
-    pub fn ready(&self) -> Option<u16> {
+    /// The status that `/-/ready` answers with; `None` if there is no answer.
+    pub fn readiness_status(&self) -> Option<u16> {
         let mut client = Client::connect(self.address)?;
         client.send("GET /-/ready HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n");
         client.receive().map(|message| message.status())
@@ -392,25 +398,25 @@
         Client::connect(self.address).expect("the sidecar accepts")
     }
 
-    /// One request on a connection of its own.
-    pub fn ask(&self, class: &str, id: &str) -> Message {
-        self.client().ask(class, id)
+    /// Sends a request on a new connection and waits for the answer.
+    pub fn send_request(&self, class: &str, id: &str) -> Message {
+        self.client().send_request(class, id)
     }
 
-    /// An operator's call, and the whole answer.
+    /// Sends a call to the operator address; returns the whole answer.
     pub fn call(&self, line: &str) -> String {
         self.call_raw(&format!("{line}\n"))
     }
 
-    /// These bytes on a connection of their own to the second address, and the whole answer.
+    /// Sends these bytes on a new connection to the operator address; returns the whole answer.
     pub fn call_raw(&self, bytes: &str) -> String {
         self.try_call(bytes).unwrap()
     }
 
-    /// As `call_raw`, for one that may have been stopped: it drops who has waited for longer than it may.
+    /// As `call_raw`, for a sidecar that may have been stopped: it closes connections that waited longer than allowed.
     pub fn try_call(&self, bytes: &str) -> std::io::Result<String> {
-        let mut stream = TcpStream::connect(self.operator.expect("a second address"))?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        let mut stream = TcpStream::connect(self.operator.expect("an operator address"))?;
+        stream.set_read_timeout(Some(WAIT_TIMEOUT))?;
         stream.write_all(bytes.as_bytes())?;
         stream.shutdown(Shutdown::Write)?;
         let mut answer = String::new();
@@ -418,26 +424,27 @@
         Ok(answer)
     }
 
-    /// A figure's value, as operators read it.
-    pub fn figure(&self, name: &str) -> u64 {
+    /// The value of a metric, read from the answer to `INFO`.
+    pub fn metric(&self, name: &str) -> u64 {
         let text = self.call("INFO");
         let value =
             |line: &str| line.strip_prefix(&format!("router.{name}:"))?.split('|').next()?.parse().ok();
-        text.lines().find_map(value).unwrap_or_else(|| panic!("no figure {name} in {text}"))
+        text.lines().find_map(value).unwrap_or_else(|| panic!("no metric {name} in {text}"))
     }
 
-    /// The folder that it keeps its state in.
-    pub fn folder(&self) -> std::path::PathBuf {
-        self.folder.clone()
+    /// The directory that it keeps its state in.
+    pub fn state_dir(&self) -> std::path::PathBuf {
+        self.state_dir.clone()
     }
 
-    /// What it has logged.
+    /// Its log output so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.file.with_extension("log")).unwrap_or_default()
     }
 
-    /// The first line of its log with this text, once it is there: a thread of its own writes the log.
-    pub fn says(&self, text: &str) -> String {
+    /// Waits for a log line with this text and returns the first one. A separate thread writes the log, so a line may
+    /// appear late.
+    pub fn wait_for_log(&self, text: &str) -> String {
         let mut found = None;
         wait_for(text, || {
             found = self.log().lines().find(|line| line.contains(text)).map(str::to_owned);
@@ -446,7 +453,7 @@
         found.unwrap()
     }
 
-    /// Replaces the file of its configuration, and tells it so.
+    /// Replaces its configuration file and sends it SIGHUP.
     pub fn reload(&self, config: &str) {
         let new = self.file.with_extension("new");
         std::fs::write(&new, config).unwrap();
@@ -459,10 +466,10 @@
         assert!(kill.unwrap().success());
     }
 
-    /// How it ended.
-    pub fn ended(&mut self) -> ExitStatus {
+    /// Waits for the process to exit; its status.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        wait_for("the sidecar's end", || {
+        wait_for("the sidecar's exit", || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
@@ -473,8 +480,8 @@
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Clock ticks of the processor used so far.
-    pub fn ticks(&self) -> u64 {
+    /// CPU time used so far, in clock ticks.
+    pub fn cpu_ticks(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<_> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
         fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
@@ -491,7 +498,7 @@
     }
 }
 
-/// Clients that ask one after another, each on a connection that it keeps while it may.
+/// Clients that each send requests one after another, on a connection that they keep until it is to be closed.
 pub struct Load {
     stop: Arc<AtomicBool>,
     threads: Vec<thread::JoinHandle<usize>>,
@@ -503,14 +510,14 @@
         let client = |c: usize| {
             let (stop, address) = (stop.clone(), sidecar.address);
             thread::spawn(move || {
-                let mut client = Client::connect(address).expect("it accepts");
+                let mut client = Client::connect(address).expect("the sidecar accepts");
                 let mut served = 0;
                 while !stop.load(Ordering::SeqCst) {
-                    let answer = client.ask("quote", &format!("l{c}-{served}"));
+                    let answer = client.send_request("quote", &format!("l{c}-{served}"));
                     assert_eq!(answer.status(), 200);
                     served += 1;
                     if answer.header("connection") == "close" {
-                        client = Client::connect(address).expect("it goes on accepting");
+                        client = Client::connect(address).expect("the sidecar still accepts");
                     }
                 }
                 served
@@ -519,18 +526,19 @@
         Load { threads: (0..clients).map(client).collect(), stop }
     }
 
-    pub fn end(self) -> usize {
+    /// Stops the clients; the number of requests served.
+    pub fn stop(self) -> usize {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().map(|t| t.join().expect("every request is served")).sum()
     }
 }
 
-/// A client's connection.
+/// A client's connection to the sidecar.
 pub struct Client {
     reader: BufReader<TcpStream>,
 }
 
-/// A request of a class with this time.
+/// A request of this class with this `X-Timeout`.
 pub fn request(class: &str, id: &str, timeout: &str) -> String {
     let (method, extra) = match class {
         "quote" => ("GET", ""),
@@ -547,7 +555,7 @@
 impl Client {
     pub fn connect(address: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(address).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
         Some(Client { reader: BufReader::new(stream) })
     }
 
@@ -559,7 +567,8 @@
         Message::read(&mut self.reader)
     }
 
-    pub fn ask(&mut self, class: &str, id: &str) -> Message {
+    /// Sends a request of this class and waits for the answer.
+    pub fn send_request(&mut self, class: &str, id: &str) -> Message {
         self.send(&request(class, id, "10000m"));
         self.receive().expect("an answer")
     }
--- a/crates/curlewhub/tests/support/queued_discovery.rs
+++ b/crates/curlewhub/tests/support/queued_discovery.rs
@@ -1,5 +1,6 @@
-//! A discovery service that does everything in turn: each call and each notification takes the same time of one worker.
-//! A change ends the watches that it reaches in place of being told on them, and whole lists leave out what drains.
+//! A discovery service with one worker and a queue: each call and each notification takes the worker the same time.
+//! A changed list is not sent on open watches: each watch is closed instead. Whole lists hold no draining targets, as
+//! the tests leave these out.
 
 use super::{Message, answer, list};
 use serde_json::Value;
@@ -10,21 +11,21 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Which of the service's clients; each has addresses of its own.
+/// Identifies a client of the service; each client calls at its own addresses.
 pub type ClientId = usize;
 
-/// What the service did for a client, and when.
+/// What happened between the service and a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A call has arrived.
     Called(String),
-    /// A list of this version was written.
+    /// A list of this version was about to be written.
     Written(u64),
-    /// A watch was ended in place of telling a change.
+    /// The client's watches were closed because the list changed.
     WatchEnded,
 }
 
-/// A recorded event.
+/// An event with its time and client.
 #[derive(Clone, Debug)]
 pub struct Record {
     pub at: Instant,
@@ -52,26 +53,26 @@
 }
 
 impl QueuedDiscovery {
-    /// Starts with these targets as version 1; everything takes `turn`.
-    pub fn start(targets: Vec<Value>, turn: Duration) -> QueuedDiscovery {
+    /// Starts with these targets as version 1; the worker takes `job_duration` per job.
+    pub fn start(targets: Vec<Value>, job_duration: Duration) -> QueuedDiscovery {
         let state = State { version: 1, targets, ..State::default() };
         let shared = Arc::new((Mutex::new(state), Condvar::new()));
         let worker = shared.clone();
-        thread::spawn(move || work(&worker, turn));
+        thread::spawn(move || run_worker(&worker, job_duration));
         QueuedDiscovery { shared }
     }
 
-    /// A further address at which this client may call.
+    /// Opens another address at which this client may call.
     pub fn address_for(&self, client: ClientId) -> SocketAddr {
-        let listener = super::listener_of_its_own();
+        let listener = super::listener_on_unique_ip();
         let address = listener.local_addr().unwrap();
         let shared = self.shared.clone();
         thread::spawn(move || accept(&listener, client, &shared));
         address
     }
 
-    /// Replaces the list; notifications of it queue behind all calls that are there. When it was done.
-    pub fn change(&self, targets: Vec<Value>) -> Instant {
+    /// Replaces the list and returns the time of the change. Its notifications queue behind all calls already waiting.
+    pub fn replace_targets(&self, targets: Vec<Value>) -> Instant {
         let (state, wake) = &*self.shared;
         let mut state = state.lock().unwrap();
         state.targets = targets;
@@ -83,8 +84,8 @@
         Instant::now()
     }
 
-    /// Clients with a watch that is open.
-    pub fn watching(&self) -> usize {
+    /// The number of clients with an open watch.
+    pub fn watching_clients(&self) -> usize {
         let state = self.shared.0.lock().unwrap();
         state.watches.values().filter(|watches| !watches.is_empty()).count()
     }
@@ -103,14 +104,14 @@
             let target = message.target().to_owned();
             let (state, wake) = &*shared;
             let mut state = state.lock().unwrap();
-            state.note(client, Event::Called(target.clone()));
+            state.record(client, Event::Called(target.clone()));
             state.jobs.push_back(Job::Answer { client, target, stream });
             wake.notify_all();
         });
     }
 }
 
-fn work(shared: &(Mutex<State>, Condvar), turn: Duration) {
+fn run_worker(shared: &(Mutex<State>, Condvar), job_duration: Duration) {
     let (state, wake) = shared;
     loop {
         let job = {
@@ -118,21 +119,21 @@
                 wake.wait_while(state.lock().unwrap(), |state| state.jobs.is_empty()).unwrap();
             waiting.jobs.pop_front().expect("a job")
         };
-        thread::sleep(turn);
-        state.lock().unwrap().carry_out(job);
+        thread::sleep(job_duration);
+        state.lock().unwrap().run_job(job);
     }
 }
 
 impl State {
-    fn note(&mut self, client: ClientId, event: Event) {
+    fn record(&mut self, client: ClientId, event: Event) {
         self.records.push(Record { at: Instant::now(), client, event });
     }
 
-    fn carry_out(&mut self, job: Job) {
+    fn run_job(&mut self, job: Job) {
         match job {
             Job::Answer { client, target, mut stream } => {
                 let whole = list(self.version, true, &self.targets).to_string();
-                self.note(client, Event::Written(self.version));
+                self.record(client, Event::Written(self.version));
                 if !target.contains("watch") {
                     let _ = stream.write_all(answer("200 OK", "", &whole).as_bytes());
                     return;
@@ -148,7 +149,7 @@
             Job::Notify { client } => {
                 let watches = self.watches.remove(&client).unwrap_or_default();
                 if !watches.is_empty() {
-                    self.note(client, Event::WatchEnded);
+                    self.record(client, Event::WatchEnded);
                 }
                 for watch in watches {
                     let _ = watch.shutdown(std::net::Shutdown::Both);
@@ -158,7 +159,7 @@
     }
 }
 
-/// An empty line each two seconds, until the connection ends.
+/// Writes an empty line every two seconds until the connection ends.
 fn keep_alive(stream: &TcpStream) {
     let mut stream = stream.try_clone().unwrap();
     thread::spawn(move || {
--- a/crates/curlewhub/tests/support/script.rs
+++ b/crates/curlewhub/tests/support/script.rs
@@ -1,38 +1,38 @@
-//! A peer of which the test does each step itself: it takes a connection, reads, writes, pauses, half-closes or
-//! resets when it says so. So two events are put in either order by the test, and never by a sleep.
+//! A peer that the test drives step by step: the test decides when it accepts, reads, writes, pauses, half-closes or
+//! resets a connection. So a test can put two events in either order without relying on a sleep.
 
-use super::{Message, PATIENCE, ip_of_its_own, listener_of_its_own};
+use super::{Message, WAIT_TIMEOUT, listener_on_unique_ip, unique_loopback_ip};
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Where connections come to be taken one by one.
-pub struct Stage {
+/// A listener whose connections the test accepts one by one.
+pub struct ScriptedListener {
     pub address: SocketAddr,
     listener: TcpListener,
 }
 
-impl Stage {
-    pub fn new() -> Stage {
-        let listener = listener_of_its_own();
-        Stage { address: listener.local_addr().unwrap(), listener }
+impl ScriptedListener {
+    pub fn new() -> ScriptedListener {
+        let listener = listener_on_unique_ip();
+        ScriptedListener { address: listener.local_addr().unwrap(), listener }
     }
 
-    /// The next connection.
-    pub fn take(&self) -> Wire {
-        self.take_within(PATIENCE).expect("a connection comes")
+    /// Accepts the next connection.
+    pub fn accept(&self) -> RawConnection {
+        self.accept_within(WAIT_TIMEOUT).expect("a connection arrives")
     }
 
-    /// The next connection, if one comes in time.
-    pub fn take_within(&self, time: Duration) -> Option<Wire> {
+    /// Accepts the next connection, if one arrives within this time.
+    pub fn accept_within(&self, time: Duration) -> Option<RawConnection> {
         self.listener.set_nonblocking(true).unwrap();
         let start = Instant::now();
         loop {
             match self.listener.accept() {
                 Ok((stream, _)) => {
                     stream.set_nonblocking(false).unwrap();
-                    return Some(Wire::new(stream));
+                    return Some(RawConnection::new(stream));
                 }
                 Err(_) if start.elapsed() < time => std::thread::sleep(Duration::from_millis(2)),
                 Err(_) => return None,
@@ -40,21 +40,21 @@
         }
     }
 
-    /// The next connection and its first request.
-    pub fn request(&self) -> (Wire, Message) {
+    /// Accepts the next connection that sends a request, and reads its first one.
+    pub fn accept_request(&self) -> (RawConnection, Message) {
         loop {
-            let mut wire = self.take();
-            if let Some(message) = wire.read() {
-                return (wire, message);
+            let mut connection = self.accept();
+            if let Some(message) = connection.read() {
+                return (connection, message);
             }
         }
     }
 
-    /// No request comes for so long, on any connection.
-    pub fn hears_nothing(&self, time: Duration) -> bool {
+    /// Whether no request arrives on any new connection for this long.
+    pub fn receives_no_request(&self, time: Duration) -> bool {
         let start = Instant::now();
-        while let Some(mut wire) = self.take_within(time.saturating_sub(start.elapsed())) {
-            if wire.read_within(time).is_some() {
+        while let Some(mut connection) = self.accept_within(time.saturating_sub(start.elapsed())) {
+            if connection.read_within(time).is_some() {
                 return false;
             }
         }
@@ -62,10 +62,10 @@
     }
 }
 
-/// How a connection's other side ended.
+/// How the other side has ended a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum End {
-    /// It sent its end.
+    /// It closed, or shut down its sending side.
     Closed,
     /// It reset the connection.
     Reset,
@@ -73,32 +73,32 @@
     Open,
 }
 
-/// One connection.
-pub struct Wire {
+/// A TCP connection to or from the sidecar, read and written by the test.
+pub struct RawConnection {
     reader: BufReader<TcpStream>,
 }
 
-impl Wire {
-    pub fn new(stream: TcpStream) -> Wire {
+impl RawConnection {
+    pub fn new(stream: TcpStream) -> RawConnection {
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Wire { reader: BufReader::new(stream) }
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+        RawConnection { reader: BufReader::new(stream) }
     }
 
-    pub fn connect(address: SocketAddr) -> Wire {
-        Wire::new(TcpStream::connect(address).expect("it accepts"))
+    pub fn connect(address: SocketAddr) -> RawConnection {
+        RawConnection::new(TcpStream::connect(address).expect("the connection is accepted"))
     }
 
     pub fn read(&mut self) -> Option<Message> {
-        self.read_within(PATIENCE)
+        self.read_within(WAIT_TIMEOUT)
     }
 
-    /// The next message, if it comes whole in time.
+    /// Reads the next message, if all of it arrives within this time.
     pub fn read_within(&mut self, time: Duration) -> Option<Message> {
         let time = time.max(Duration::from_millis(1));
         self.reader.get_ref().set_read_timeout(Some(time)).unwrap();
         let message = Message::read(&mut self.reader);
-        self.reader.get_ref().set_read_timeout(Some(PATIENCE)).unwrap();
+        self.reader.get_ref().set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         message.filter(|message| !message.first_line.is_empty())
     }
 
@@ -106,17 +106,17 @@
         let _ = self.try_write(text);
     }
 
-    /// Whether the connection still took it.
+    /// Writes text; whether the write succeeded.
     pub fn try_write(&mut self, text: &str) -> bool {
         self.reader.get_mut().write_all(text.as_bytes()).is_ok()
     }
 
-    /// A chunk of a body that is sent in chunks.
-    pub fn chunk(&mut self, text: &str) {
+    /// Writes one chunk of a chunked body.
+    pub fn write_chunk(&mut self, text: &str) {
         self.write(&format!("{:x}\r\n{text}\r\n", text.len()));
     }
 
-    /// Ends its sending and goes on reading.
+    /// Shuts down sending; reading goes on.
     pub fn half_close(&mut self) {
         let _ = self.reader.get_ref().shutdown(Shutdown::Write);
     }
@@ -126,15 +126,15 @@
         let _ = SockRef::from(self.reader.get_ref()).set_linger(Some(Duration::ZERO));
     }
 
-    /// Reads to the other side's end, or for so long; all that came, and how it ended.
-    pub fn rest(&mut self, time: Duration) -> (Vec<u8>, End) {
+    /// Reads until the other side ends or the time is over; returns all that was read and how it ended.
+    pub fn read_until_end(&mut self, time: Duration) -> (Vec<u8>, End) {
         let (start, mut all) = (Instant::now(), Vec::new());
         loop {
             let left = time.saturating_sub(start.elapsed()).max(Duration::from_millis(1));
             self.reader.get_ref().set_read_timeout(Some(left)).unwrap();
             let mut piece = [0; 4096];
             match self.reader.read(&mut piece) {
-                // A reset behind the end shows in no read any more.
+                // No further read shows a reset that follows the end of the stream.
                 Ok(0) => {
                     std::thread::sleep(Duration::from_millis(50));
                     return (all, if self.was_reset() { End::Reset } else { End::Closed });
@@ -148,11 +148,11 @@
     }
 
     /// Waits until the other side has ended.
-    pub fn ended(&mut self) -> End {
-        self.rest(PATIENCE).1
+    pub fn wait_for_end(&mut self) -> End {
+        self.read_until_end(WAIT_TIMEOUT).1
     }
 
-    /// Whether the other side has ended, with nothing unread ahead of that: looks and does not wait.
+    /// Whether the other side has ended and everything before the end has been read. Does not wait.
     pub fn has_ended(&self) -> bool {
         let stream = self.reader.get_ref();
         stream.set_nonblocking(true).unwrap();
@@ -162,43 +162,43 @@
             && seen.map_or_else(|e| e.kind() != std::io::ErrorKind::WouldBlock, |count| count == 0)
     }
 
-    /// Whether the other side has reset the connection, though nothing was written to it since.
+    /// Whether the other side has reset the connection; shown without a write to it.
     pub fn was_reset(&self) -> bool {
         !matches!(SockRef::from(self.reader.get_ref()).take_error(), Ok(None))
     }
 
-    /// Whether something has come that was not read.
-    pub fn has_more(&mut self, time: Duration) -> bool {
+    /// Whether unread data arrives within this time.
+    pub fn has_unread(&mut self, time: Duration) -> bool {
         self.reader.get_ref().set_read_timeout(Some(time.max(Duration::from_millis(1)))).unwrap();
         matches!(self.reader.fill_buf(), Ok(bytes) if !bytes.is_empty())
     }
 }
 
-/// An endpoint that takes long to dial: its queue is full until it is opened, and what came meanwhile comes up when
-/// the dialler's machine tries again, about a second after it began.
-pub struct SlowDoor {
+/// An endpoint that is slow to connect to: its accept queue is full until `start_accepting`. A connection attempted
+/// before that is established when the client's kernel retries its SYN, about a second after the first one.
+pub struct FullBacklogListener {
     pub address: SocketAddr,
     listener: TcpListener,
-    filler: Vec<TcpStream>,
+    queued: Vec<TcpStream>,
 }
 
-impl SlowDoor {
-    pub fn shut() -> SlowDoor {
+impl FullBacklogListener {
+    pub fn new() -> FullBacklogListener {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        socket.bind(&SocketAddr::from((ip_of_its_own(), 0)).into()).unwrap();
+        socket.bind(&SocketAddr::from((unique_loopback_ip(), 0)).into()).unwrap();
         socket.listen(0).unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
-        let filler = vec![TcpStream::connect(address).unwrap()];
-        SlowDoor { address, listener: socket.into(), filler }
+        let queued = vec![TcpStream::connect(address).unwrap()];
+        FullBacklogListener { address, listener: socket.into(), queued }
     }
 
-    /// Whoever dials from now on, or is still dialling, comes up.
-    pub fn open(self) -> Stage {
-        for _ in &self.filler {
+    /// Lets through connections attempted from now on, and those still being retried.
+    pub fn start_accepting(self) -> ScriptedListener {
+        for _ in &self.queued {
             drop(self.listener.accept().unwrap());
         }
         let socket = Socket::from(self.listener);
         socket.listen(64).unwrap();
-        Stage { address: self.address, listener: socket.into() }
+        ScriptedListener { address: self.address, listener: socket.into() }
     }
 }
--- a/crates/curlewhub/tests/surge.rs
+++ b/crates/curlewhub/tests/surge.rs
@@ -16,7 +16,7 @@
     let peer = Peer::new(move |_| {
         let number = counter.fetch_add(1, Ordering::SeqCst);
         wait_for("the gate", || gate.load(Ordering::SeqCst) > number);
-        Do::Serve("ok")
+        Action::Serve("ok")
     });
     let mut config = config(&[&peer]);
     // Inside a tier no answer counts as late for its time, so that a slow machine changes nothing.
--- a/crates/curlewhub/tests/swallowed.rs
+++ b/crates/curlewhub/tests/swallowed.rs
@@ -16,7 +16,7 @@
         Peer::new(move |message| {
             let id = message.header("x-request-id");
             let first = id.starts_with("lost") && swallowed.lock().unwrap().insert(id.to_owned());
-            if first { Do::Silence } else { Do::Late(Duration::from_millis(20)) }
+            if first { Action::NeverAnswer } else { Action::ServeAfter(Duration::from_millis(20)) }
         })
     };
     let (a, b) = (peer(), peer());
@@ -28,7 +28,7 @@
     wait_for("an answer from a second copy", || {
         for _ in 0..25 {
             number += 1;
-            assert_eq!(client.ask("quote", &format!("r{number}")).status(), 200);
+            assert_eq!(client.send_request("quote", &format!("r{number}")).status(), 200);
         }
         let mut other = sidecar.client();
         other.send(&request("quote", &format!("lost{number}"), "3000m"));
--- a/crates/curlewhub/tests/system_calls.rs
+++ b/crates/curlewhub/tests/system_calls.rs
@@ -108,7 +108,7 @@
     fn ask(&mut self, class: &str, id: &str) {
         let mut connection = self.open.take().unwrap_or_else(|| {
             let stream = TcpStream::connect(self.sidecar.address).expect("the system accepts");
-            stream.set_read_timeout(Some(PATIENCE)).unwrap();
+            stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
             BufReader::new(stream)
         });
         self.outcome.asked += 1;
@@ -168,7 +168,7 @@
             });
             let came = |entry: usize| self.injection.struck(entry).unwrap() >= struck;
             let began = std::time::Instant::now();
-            while !(0..entries).all(came) && began.elapsed() < PATIENCE && !load.is_finished() {
+            while !(0..entries).all(came) && began.elapsed() < WAIT_TIMEOUT && !load.is_finished() {
                 std::thread::sleep(Duration::from_millis(5));
             }
             enough.store(true, Ordering::SeqCst);
@@ -309,8 +309,8 @@
     let peer = |_| {
         let count = AtomicUsize::new(0);
         Peer::new(move |_| match count.fetch_add(1, Ordering::SeqCst) % 8 {
-            7 => Do::ServeAndEnd("ok"),
-            _ => Do::Late(BUSY),
+            7 => Action::ServeAndHalfClose("ok"),
+            _ => Action::ServeAfter(BUSY),
         })
     };
     (0..3).map(peer).collect()
@@ -351,7 +351,7 @@
         assert!(setup.injection.struck(0).unwrap() > 0);
         setup.switch(Switch::Off);
         // Endpoints may be spared for a moment after so many failures.
-        wait_for("a served request", || setup.sidecar.ask("quote", "after").status() == 200);
+        wait_for("a served request", || setup.sidecar.send_request("quote", "after").status() == 200);
         let after = setup.rounds(&CLASSES, false, CLIENTS, &|_, n| n < BEFORE);
         assert!(after.is_all_served(), "{errno}: {after:?}\n{}", setup.sidecar.log());
         eprintln!("{errno}: {during:?}, then {after:?}");
--- a/crates/curlewhub/tests/waits/rude.rs
+++ b/crates/curlewhub/tests/waits/rude.rs
@@ -38,42 +38,42 @@
             assert!(client.receive().is_none(), "nothing more is read there: {bad}");
         }
     }
-    assert_eq!(peer.count(), 0, "nothing of it went on");
+    assert_eq!(peer.request_count(), 0, "nothing of it went on");
 }
 
 #[test]
 fn requests_sent_ahead_of_the_answer_are_never_served() {
-    let peer = Peer::new(|_| Do::Silence);
+    let peer = Peer::new(|_| Action::NeverAnswer);
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
     let all: String = (0..300).map(|n| request("quote", &format!("r{n}"), "5000m")).collect();
     client.send(&all);
     assert!(client.receive().is_none_or(|answer| (400..500).contains(&answer.status())));
     assert!(client.receive().is_none(), "and closed");
-    assert_eq!(peer.count(), 0, "nothing of it went on");
+    assert_eq!(peer.request_count(), 0, "nothing of it went on");
     // The same one by one, the first already on its way.
     let mut client = sidecar.client();
     client.send(&request("quote", "s1", "20000m"));
-    wait_for("the attempt", || peer.count() == 1);
+    wait_for("the attempt", || peer.request_count() == 1);
     client.send(&request("quote", "s2", "20000m"));
     assert!(client.receive().is_none_or(|answer| (400..500).contains(&answer.status())));
     assert!(client.receive().is_none(), "and closed");
-    wait_for("the attempt's end", || peer.closed() == 1);
-    assert_eq!(peer.count(), 1);
+    wait_for("the attempt's end", || peer.closed_by_sidecar() == 1);
+    assert_eq!(peer.request_count(), 1);
 }
 
 #[test]
 fn the_id_of_an_open_request_is_refused_and_the_first_stays_whole() {
-    let peer = Peer::new(|_| Do::Late(Duration::from_millis(800)));
+    let peer = Peer::new(|_| Action::ServeAfter(Duration::from_millis(800)));
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut first = sidecar.client();
     first.send(&request("book", "twice", "20000m"));
-    wait_for("the attempt", || peer.count() == 1);
-    let refused = sidecar.ask("quote", "twice").status();
+    wait_for("the attempt", || peer.request_count() == 1);
+    let refused = sidecar.send_request("quote", "twice").status();
     assert!((400..500).contains(&refused) && refused != 429, "{refused}");
     assert_eq!(first.receive().expect("its own answer").status(), 200);
-    assert_eq!(peer.count(), 1);
-    assert_eq!(sidecar.ask("book", "twice").status(), 200, "it is free again");
+    assert_eq!(peer.request_count(), 1);
+    assert_eq!(sidecar.send_request("book", "twice").status(), 200, "it is free again");
 }
 
 #[test]
@@ -86,7 +86,7 @@
             let mut client = sidecar.client();
             if kept {
                 // On a connection that was good before.
-                assert_eq!(client.ask("book", "r0").status(), 200);
+                assert_eq!(client.send_request("book", "r0").status(), 200);
             }
             if kept && sent == 0 {
                 continue; // a good client's idle connection
@@ -118,7 +118,7 @@
         others.push(other);
     }
     for n in 0..20 {
-        assert_eq!(sidecar.ask("book", &format!("r{n}")).status(), 200, "in spite of all others");
+        assert_eq!(sidecar.send_request("book", &format!("r{n}")).status(), 200, "in spite of all others");
     }
     assert!(sidecar.descriptors() <= 128);
 }
--- a/crates/curlewhub/tests/waits/spoilt.rs
+++ b/crates/curlewhub/tests/waits/spoilt.rs
@@ -7,8 +7,8 @@
 
 #[test]
 fn a_spoilt_answer_is_a_failed_attempt_that_may_have_run_and_its_connection_is_closed() {
-    let flood = |first: &str, more: &str| Do::Flood(first.to_owned(), more.repeat(200));
-    let write = |text: &str| Do::Write(text.to_owned());
+    let flood = |first: &str, more: &str| Action::Flood(first.to_owned(), more.repeat(200));
+    let write = |text: &str| Action::Write(text.to_owned());
     let spoilt = [
         write("\x00\x01\x02 no answer at all\r\n\r\n"),
         write("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok"),
@@ -31,31 +31,31 @@
             let (act, asked) = (act.clone(), asked.clone());
             Peer::new(move |_| match asked.fetch_add(1, Ordering::SeqCst) {
                 0 | 2 => act.clone(),
-                _ => Do::Serve("good"),
+                _ => Action::Serve("good"),
             })
         };
         let sidecar = Sidecar::start(&config(&[&peer]));
         let start = Instant::now();
-        let answer = sidecar.ask("quote", "r1");
+        let answer = sidecar.send_request("quote", "r1");
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"good"[..]), "{what}");
-        let answer = sidecar.ask("book", "r2").status();
+        let answer = sidecar.send_request("book", "r2").status();
         assert!(answer >= 500 && answer != 503, "{answer}: it may have run: {what}");
         assert!(start.elapsed() < Duration::from_secs(8), "not all of its time: {what}");
-        assert_eq!(peer.count(), 3, "{what}");
-        wait_for("the spoilt connections' end", || peer.closed() == 2);
-        assert_eq!(sidecar.ask("book", "r3").status(), 200, "{what}");
+        assert_eq!(peer.request_count(), 3, "{what}");
+        wait_for("the spoilt connections' end", || peer.closed_by_sidecar() == 2);
+        assert_eq!(sidecar.send_request("book", "r3").status(), 200, "{what}");
     }
 }
 
 #[test]
 fn what_comes_ahead_of_an_answer_is_passed_over_however_long_before() {
     let ahead = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
-    let peer = Peer::new(move |_| Do::WriteThenServe(ahead.to_owned(), Duration::from_millis(900)));
+    let peer = Peer::new(move |_| Action::WriteThenServe(ahead.to_owned(), Duration::from_millis(900)));
     let sidecar = Sidecar::start(&config(&[&peer]));
-    let answer = sidecar.ask("book", "r1");
+    let answer = sidecar.send_request("book", "r1");
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"late"[..]));
-    assert_eq!(sidecar.ask("book", "r2").status(), 200);
-    assert_eq!(peer.count(), 2);
+    assert_eq!(sidecar.send_request("book", "r2").status(), 200);
+    assert_eq!(peer.request_count(), 2);
 }
 
 #[test]
@@ -64,25 +64,27 @@
         // In the same segment, and some time later.
         for wait in [0, 20] {
             let more = more.clone();
-            let peer =
-                Peer::new(move |_| Do::ServeAndWrite("good", Duration::from_millis(wait), more.clone()));
+            let peer = Peer::new(move |_| {
+                Action::ServeThenWrite("good", Duration::from_millis(wait), more.clone())
+            });
             let sidecar = Sidecar::start(&config(&[&peer]));
             let mut client = sidecar.client();
             for n in 0..6 {
-                let answer = client.ask("book", &format!("r{n}"));
+                let answer = client.send_request("book", &format!("r{n}"));
                 assert_eq!((answer.status(), &answer.body[..]), (200, &b"good"[..]), "{wait} ms");
                 if wait > 0 {
-                    wait_for("the connection's end", || peer.closed() == n + 1);
+                    wait_for("the connection's end", || peer.closed_by_sidecar() == n + 1);
                 }
             }
         }
         // Just as the connection is to be used again: it finds both at once when it wakes.
         let more = more.clone();
-        let peer = Peer::new(move |_| Do::ServeAndWrite("good", Duration::from_millis(300), more.clone()));
+        let peer =
+            Peer::new(move |_| Action::ServeThenWrite("good", Duration::from_millis(300), more.clone()));
         let sidecar = Sidecar::start(&config(&[&peer]));
         let mut client = sidecar.client();
         for n in 0..2 {
-            let answer = client.ask("book", &format!("s{n}"));
+            let answer = client.send_request("book", &format!("s{n}"));
             assert_eq!((answer.status(), &answer.body[..]), (200, &b"good"[..]));
             sidecar.signal("-STOP");
             client.send(&request("book", &format!("t{n}"), "10000m"));
@@ -90,7 +92,7 @@
             sidecar.signal("-CONT");
             let answer = client.receive().expect("an answer");
             assert_eq!((answer.status(), &answer.body[..]), (200, &b"good"[..]));
-            wait_for("the connection's end", || peer.closed() == 2 * n + 2);
+            wait_for("the connection's end", || peer.closed_by_sidecar() == 2 * n + 2);
         }
     }
 }
@@ -102,13 +104,13 @@
         let came = came.clone();
         Peer::new(move |_| {
             came.lock().unwrap().push(Instant::now());
-            Do::Serve("ok")
+            Action::Serve("ok")
         })
     };
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
     for n in 0..10 {
-        assert_eq!(client.ask("book", &format!("r{n}")).status(), 200);
+        assert_eq!(client.send_request("book", &format!("r{n}")).status(), 200);
     }
     assert_eq!(peer.connections.load(Ordering::SeqCst), 1);
     for pair in came.lock().unwrap().windows(2) {
@@ -121,22 +123,22 @@
 fn a_load_report_that_can_not_be_read_spoils_nothing() {
     for report in ["{\"", "=,=", "%%%", "inflight=NaN,queue=-1", "inflight=1e999"] {
         let text = answer("200 OK", &format!("X-Server-Load: {report}\r\n"), "good");
-        let peer = Peer::new(move |_| Do::Write(text.clone()));
+        let peer = Peer::new(move |_| Action::Write(text.clone()));
         let sidecar = Sidecar::start(&config(&[&peer]));
-        assert_eq!(sidecar.ask("book", "r1").status(), 200, "{report}");
+        assert_eq!(sidecar.send_request("book", "r1").status(), 200, "{report}");
     }
 }
 
 #[test]
 fn connections_that_are_reset_after_lying_idle_are_given_up_while_they_are_young() {
     // Resets the connection at any request but its first.
-    let peer = Peer::new(|_| Do::ServeOnce("ok"));
+    let peer = Peer::new(|_| Action::ServeOnlyFirst("ok"));
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut lost = 0;
     for n in 0..12 {
-        lost += usize::from(sidecar.ask("book", &format!("r{n}")).status() != 200);
+        lost += usize::from(sidecar.send_request("book", &format!("r{n}")).status() != 200);
         std::thread::sleep(Duration::from_millis(150));
     }
     assert!((1..=3).contains(&lost), "{lost} unsafe requests were lost");
-    sidecar.says("aged connections");
+    sidecar.wait_for_log("aged connections");
 }
