--- a/crates/curlewhub/src/member.rs
+++ b/crates/curlewhub/src/member.rs
@@ -155,7 +155,7 @@
             .filter_map(|(zone, access)| Some((self.zone_id(zone)?, self.zone_right(now, *access))))
             .collect();
         self.closed_zones = access.iter().filter(is_closed).count() as u64;
-        let _ = self.commands.send(Command::Zones(rights)); // fails only while the process ends
+        let _ = self.commands.send(Command::SetZoneAdmissions(rights)); // fails only while the process ends
         self.log_access(access);
     }
 
--- a/crates/curlewhub/src/reload.rs
+++ b/crates/curlewhub/src/reload.rs
@@ -3,7 +3,7 @@
 use crate::logs::{LogControl, levels};
 use curlewhub_config::{ConfigChange, LoadedConfig};
 use curlewhub_control_plane::configuration::SettingValues;
-use curlewhub_runtime::events::Call;
+use curlewhub_runtime::events::ListCommand;
 use curlewhub_runtime::figures::Metrics;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,7 +14,7 @@
 pub struct Reloader {
     loaded: RefCell<LoadedConfig>,
     figures: Rc<Metrics>,
-    calls: UnboundedSender<Call>,
+    calls: UnboundedSender<ListCommand>,
     log: LogControl,
 }
 
@@ -23,7 +23,7 @@
     pub fn new(
         loaded: LoadedConfig,
         figures: Rc<Metrics>,
-        calls: UnboundedSender<Call>,
+        calls: UnboundedSender<ListCommand>,
         log: LogControl,
     ) -> Rc<Reloader> {
         Rc::new(Reloader { loaded: RefCell::new(loaded), figures, calls, log })
@@ -75,10 +75,10 @@
         }
         // Sending fails only while the process ends.
         if let Some(address) = discovery {
-            let _ = self.calls.send(Call::Move(address));
+            let _ = self.calls.send(ListCommand::SetAddress(address));
         }
         if let Some(endpoints) = endpoints {
-            let _ = self.calls.send(Call::Replace(endpoints));
+            let _ = self.calls.send(ListCommand::ReplaceTargets(endpoints));
         }
     }
 }
--- a/crates/curlewhub/src/serve.rs
+++ b/crates/curlewhub/src/serve.rs
@@ -12,9 +12,9 @@
 use curlewhub_runtime::budget::Budget;
 use curlewhub_runtime::clock::Clock;
 use curlewhub_runtime::discovery::Discovery;
-use curlewhub_runtime::driver::{Driver, Parts};
+use curlewhub_runtime::driver::{Dependencies, Driver};
 use curlewhub_runtime::endpoint_bans::EndpointBans;
-use curlewhub_runtime::events::{Call, Command, Commands, Inbox, Input};
+use curlewhub_runtime::events::{Command, Commands, Inbox, Input, ListCommand};
 use curlewhub_runtime::figures::Metrics;
 use curlewhub_runtime::handover::protocol::Connection;
 use curlewhub_runtime::handover::{self, HandedOver, Handover};
@@ -152,7 +152,7 @@
     listing: Rc<Listing>,
     /// None if the list is static.
     discovery: Option<Rc<Discovery>>,
-    calls: UnboundedSender<Call>,
+    calls: UnboundedSender<ListCommand>,
 }
 
 impl ListSource {
@@ -161,7 +161,7 @@
         let listing = Listing::new(config.names.clone());
         let (calls, call_queue) = mpsc::unbounded_channel();
         let Some(address) = config.discovery else {
-            let _ = inbox.send(Input::List(listing.news(config.initial_list.clone())));
+            let _ = inbox.send(Input::ListUpdate(listing.update(config.initial_list.clone())));
             spawn_local(static_list::run(
                 config.initial_list.targets.clone(),
                 longest_deadline(config),
@@ -181,7 +181,7 @@
             config.seed,
             inbox.clone(),
         );
-        let _ = inbox.send(Input::List(discovery.cached(config.initial_list.clone())));
+        let _ = inbox.send(Input::ListUpdate(discovery.cached(config.initial_list.clone())));
         spawn_local(discovery.clone().run(call_queue));
         ListSource { listing, discovery: Some(discovery), calls }
     }
@@ -194,7 +194,7 @@
         while !discovery.is_fresh() && start.elapsed() < FRESH_LIST_TIMEOUT {
             if requested_at.is_none_or(|at| at.elapsed() >= FRESH_LIST_REQUEST_INTERVAL) {
                 requested_at = Some(Instant::now());
-                let _ = self.calls.send(Call::Fetch); // fails only while the process ends
+                let _ = self.calls.send(ListCommand::Fetch); // fails only while the process ends
             }
             sleep(FRESH_LIST_CHECK_INTERVAL).await;
         }
@@ -266,7 +266,7 @@
         let calls = list_source.calls.clone();
         let reloader = Reloader::new(loaded, figures.clone(), calls.clone(), log);
         let fleet = member::join(&config, &figures, &commands, clock, reloader.clone());
-        let parts = Parts {
+        let dependencies = Dependencies {
             outbound: outbound.clone(),
             listing: list_source.listing.clone(),
             bans: bans.clone(),
@@ -275,7 +275,7 @@
             call_observer: fleet.call_observer.clone(),
         };
         let max_attempts = config.settings.limits.max_attempts;
-        let driver = Driver::new(balancer, clock, max_attempts, parts, calls, inbox);
+        let driver = Driver::new(balancer, clock, max_attempts, dependencies, calls, inbox);
         let driver = spawn_local(driver.run(inputs, command_queue));
         spawn_local(outbound.clone().sweep());
         let startup = Startup { lifecycle, handover, bans, outbound, list_source, learned_state };
--- a/crates/rig/src/scale/hollow.rs
+++ b/crates/rig/src/scale/hollow.rs
@@ -274,9 +274,9 @@
     let (_asks, asked) = unbounded_channel();
     spawn_local(discovery.run(asked));
     while let Some(input) = inputs.recv().await {
-        let Input::List(news) = input else { continue };
+        let Input::ListUpdate(update) = input else { continue };
         let mut counts = counted.counts.borrow_mut();
-        match news.membership {
+        match update.membership {
             Membership::Failed | Membership::Refused => counts.list_failures += 1,
             Membership::Full(entries) | Membership::Delta(entries) | Membership::Cached(entries) => {
                 counts.lists += 1;
--- a/crates/runtime/src/attempt_terms.rs
+++ b/crates/runtime/src/attempt_terms.rs
@@ -1,6 +1,6 @@
 //! How far an attempt has come, and what must hold when its first byte is written.
 
-use super::events::Client;
+use super::events::ClientStatus;
 use super::time_left::TimeLeft;
 use curlewhub_balance::Outcome;
 use std::cell::Cell;
@@ -19,7 +19,7 @@
 #[derive(Clone)]
 pub struct WriteConditions {
     /// Its client is still there.
-    pub client: Client,
+    pub client: ClientStatus,
     /// A repeat of what may have run begins by then; none where nothing has.
     pub begin_by: Option<Instant>,
     /// What its endpoint is told of the client's time.
@@ -29,13 +29,13 @@
 impl WriteConditions {
     /// Whether they hold now.
     pub(super) fn hold(&self) -> bool {
-        !self.client.has_gone() && self.begin_by.is_none_or(|by| Instant::now() < by)
+        !self.client.is_disconnected() && self.begin_by.is_none_or(|by| Instant::now() < by)
     }
 
     /// Ends once they don't hold any more.
     pub(super) async fn violated(&self) {
         tokio::select! {
-            () = self.client.gone() => {}
+            () = self.client.disconnected() => {}
             () = sleep_until(self.begin_by.unwrap_or_else(Instant::now)), if self.begin_by.is_some() => {}
         }
     }
--- a/crates/runtime/src/discovery/mod.rs
+++ b/crates/runtime/src/discovery/mod.rs
@@ -5,7 +5,7 @@
 mod error;
 mod trace;
 
-use crate::events::{Call, Inbox, Input, ListStatus, News};
+use crate::events::{Inbox, Input, ListCommand, ListStatus, ListUpdate};
 use crate::guard::AbortOnDrop;
 use crate::listing::Listing;
 use call::{Order, Report, Reports};
@@ -70,9 +70,9 @@
     }
 
     /// The list as last held, to start from.
-    pub fn cached(&self, list: EndpointList) -> News {
+    pub fn cached(&self, list: EndpointList) -> ListUpdate {
         self.client.borrow_mut().set_initial_version(list.rev);
-        let mut news = self.listing.news(list);
+        let mut news = self.listing.update(list);
         if let Membership::Full(entries) | Membership::Delta(entries) = news.membership {
             news.membership = Membership::Cached(entries);
         }
@@ -80,7 +80,7 @@
     }
 
     /// Carries out the driver's calls. Each is answered by an event; a watch stays open after it.
-    pub async fn run(self: Rc<Self>, mut calls: UnboundedReceiver<Call>) {
+    pub async fn run(self: Rc<Self>, mut calls: UnboundedReceiver<ListCommand>) {
         let (reports, mut reported) = mpsc::channel(REPORTS_QUEUED);
         let mut out = HashMap::new();
         // Where lists are pushed, a watch must always be up: the module never asks for one.
@@ -107,14 +107,14 @@
         self.started.elapsed()
     }
 
-    fn called(&self, call: Call) {
+    fn called(&self, call: ListCommand) {
         let (mut client, now) = (self.client.borrow_mut(), self.now());
         match call {
-            Call::Watch(true) => client.follow(now),
-            Call::Watch(false) => client.unfollow(),
-            Call::Replace(_) => {} // the file's list was for the start alone
-            Call::Fetch => client.fetch(now),
-            Call::Move(address) => {
+            ListCommand::Watch(true) => client.follow(now),
+            ListCommand::Watch(false) => client.unfollow(),
+            ListCommand::ReplaceTargets(_) => {} // the file's list was for the start alone
+            ListCommand::Fetch => client.fetch(now),
+            ListCommand::SetAddress(address) => {
                 self.address.set(address);
                 client.server_changed(now);
             }
@@ -165,12 +165,12 @@
         if !list.targets.is_empty() {
             info!(rev = list.rev, whole = list.is_complete, entries = list.targets.len(), "list");
         }
-        let news = self.listing.news(list);
-        let _ = self.inbox.send(Input::List(news)); // fails only while the process ends
+        let news = self.listing.update(list);
+        let _ = self.inbox.send(Input::ListUpdate(news)); // fails only while the process ends
     }
 
     fn tell(&self, membership: Membership) {
-        let _ = self.inbox.send(Input::List(News { membership, addresses: Vec::new() }));
+        let _ = self.inbox.send(Input::ListUpdate(ListUpdate { membership, addresses: Vec::new() }));
     }
 
     /// Tells the driver how the list stands, where that has changed.
@@ -185,7 +185,7 @@
         }
         let heard_at = self.started + lease.confirmed_at();
         let status = ListStatus {
-            expires: lease.expires_at().map(|at| self.started + at),
+            expires_at: lease.expires_at().map(|at| self.started + at),
             version: client.version(),
             unwatched_since: (state != LeaseState::Watching).then_some(heard_at),
         };
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -9,7 +9,10 @@
 use super::call_observer::CallObserver;
 use super::clock::Clock;
 use super::endpoint_bans::EndpointBans;
-use super::events::{Answer, Arrival, Call, Client, Command, Ended, Forward, Inbox, Input, ListStatus};
+use super::events::{
+    AttemptResult, ClientStatus, Command, FinalResponse, ForwardedRequest, Inbox, Input, ListCommand,
+    ListStatus, ReceivedRequest,
+};
 use super::figures::EndpointSummary;
 use super::handover::overlap::{BalancerAccess, Overlap};
 use super::idempotency_keys::IdempotencyKeys;
@@ -43,14 +46,14 @@
 
 /// A request until it has its final answer and all its attempts have ended.
 struct Open {
-    forward: Forward,
+    forward: ForwardedRequest,
     /// Moves where a body still comes.
     deadline: watch::Sender<Instant>,
     /// How long its client waits, while its body still comes.
     coming: Option<Duration>,
     /// Gone once the request is finished: so there is never a second final answer.
-    answer: Option<oneshot::Sender<Answer>>,
-    client: Client,
+    answer: Option<oneshot::Sender<FinalResponse>>,
+    client: ClientStatus,
     tries: Vec<Try>,
     out: usize,
     class: ClassId,
@@ -61,7 +64,7 @@
 }
 
 /// The parts that the driver works with.
-pub struct Parts {
+pub struct Dependencies {
     /// Connections to endpoints.
     pub outbound: Rc<Outbound>,
     /// The list.
@@ -104,7 +107,7 @@
     list_status: Option<ListStatus>,
     /// Division of the overlap quota with another process.
     overlap: Overlap,
-    calls: UnboundedSender<Call>,
+    calls: UnboundedSender<ListCommand>,
     inbox: Inbox,
 }
 
@@ -114,11 +117,11 @@
         balancer: Balancer,
         clock: Clock,
         max_attempts: u32,
-        parts: Parts,
-        calls: UnboundedSender<Call>,
+        parts: Dependencies,
+        calls: UnboundedSender<ListCommand>,
         inbox: Inbox,
     ) -> Self {
-        let Parts { outbound, listing, bans, lifecycle, idempotency_keys, call_observer } = parts;
+        let Dependencies { outbound, listing, bans, lifecycle, idempotency_keys, call_observer } = parts;
         Driver {
             balancer,
             clock,
@@ -214,26 +217,26 @@
 
     fn take(&mut self, input: Input) {
         match input {
-            Input::Arrived(arrival) => self.arrived(*arrival),
-            Input::BodyFlows(id) => self.handle(Event::BodyNotReplayable(id)),
-            Input::BodyWhole(id, deadline) => self.body_whole(id, deadline),
-            Input::ClientGone(id) => self.gone(id),
+            Input::RequestReceived(arrival) => self.arrived(*arrival),
+            Input::BodyNotReplayable(id) => self.handle(Event::BodyNotReplayable(id)),
+            Input::BodyComplete(id, deadline) => self.body_whole(id, deadline),
+            Input::ClientDisconnected(id) => self.gone(id),
             Input::AttemptEnded(id, attempt, ended) => self.attempt_ended(id, attempt, ended),
-            Input::ProbeEnded(endpoint, Ended { outcome, report, .. }, elapsed) => {
+            Input::ProbeEnded(endpoint, AttemptResult { outcome, report, .. }, elapsed) => {
                 self.handle(Event::ProbeEnded { endpoint, outcome, elapsed, report });
             }
-            Input::List(news) => self.list(news),
+            Input::ListUpdate(news) => self.list(news),
             Input::ListStatus(status) => self.list_status(status),
             Input::Restore(snapshot, told) => {
                 let restored = self.balancer.restore(self.clock.now(), &snapshot);
                 let _ = told.send(restored); // who asked may have given up
             }
-            Input::GiveUp => {
+            Input::FailOpenRequests => {
                 let open = self.requests.iter().filter(|(_, open)| open.answer.is_some());
                 let open: Vec<RequestId> = open.map(|(id, _)| *id).collect();
                 warn!(requests = open.len(), "giving up what is still open");
                 for id in open {
-                    self.finish(id, Answer::Failed);
+                    self.finish(id, FinalResponse::Failed);
                     self.handle(Event::RequestAbandoned(id));
                     self.tidy(id);
                 }
@@ -244,13 +247,13 @@
     fn obey(&mut self, command: Command) {
         // An answer that nobody waits for any more is nobody's loss.
         match command {
-            Command::Hosts(told) => {
+            Command::SummarizeEndpoints(told) => {
                 let down = self.balancer.avoided_endpoints(self.clock.now());
                 let (listed, parts) = (self.addresses.len(), self.overlap.parts());
                 let list = self.list_status;
                 let _ = told.send(EndpointSummary { listed, down, parts, list });
             }
-            Command::Zones(rights) => self.handle(Event::Zones(rights)),
+            Command::SetZoneAdmissions(rights) => self.handle(Event::Zones(rights)),
             Command::ProbeZone { zone, count, within } => self.probe_zone(zone, count, within),
             Command::CaptureSnapshot(reply) => drop(reply.send(self.balancer.snapshot(self.clock.now()))),
             Command::PeerConnected { link, is_predecessor, send } => {
@@ -264,7 +267,9 @@
                 let ending = self.lifecycle.state() == State::Terminating;
                 self.share(|overlap, access| overlap.peer_disconnected(link, ending, access));
             }
-            Command::Ban { uid, on, known, told } => drop(told.send(self.ban(&uid, on, known))),
+            Command::Ban { uid, banned, known_to_peer, reply } => {
+                let _ = reply.send(self.ban(&uid, banned, known_to_peer));
+            }
         }
     }
 
@@ -303,9 +308,10 @@
         self.outbound.set_admitted(id, self.addresses.get(&id).copied().filter(|_| open));
     }
 
-    fn arrived(&mut self, arrival: Arrival) {
-        let Arrival { mut request, key, deadline, time, forward, answer, client } = arrival;
-        if client.has_gone() {
+    fn arrived(&mut self, arrival: ReceivedRequest) {
+        let ReceivedRequest { mut request, key, deadline, response_timeout, forwarded, reply, client } =
+            arrival;
+        if client.is_disconnected() {
             return self.count("client gone"); // while it waited to be looked at
         }
         if let Some(key) = key {
@@ -319,11 +325,12 @@
         }
         request.time_left = deadline.saturating_duration_since(Instant::now());
         debug!(request = request.id.0, class = request.class.0, tenant = request.tenant.0, "request");
-        let coming = request.body_incomplete.then_some(time);
+        let coming = request.body_incomplete.then_some(response_timeout);
         let deadline = watch::Sender::new(deadline);
         let class = request.class;
-        let (answer, tries, out, noted) = (Some(answer), Vec::new(), 0, false);
-        let open = Open { forward, deadline, coming, answer, client, tries, out, class, key, noted };
+        let (answer, tries, out, noted) = (Some(reply), Vec::new(), 0, false);
+        let open =
+            Open { forward: forwarded, deadline, coming, answer, client, tries, out, class, key, noted };
         self.requests.insert(request.id, open);
         self.overlap.request_arrived();
         self.handle(Event::Request(request));
@@ -349,7 +356,7 @@
         self.tidy(id);
     }
 
-    fn attempt_ended(&mut self, id: RequestId, attempt: AttemptNo, ended: Ended) {
+    fn attempt_ended(&mut self, id: RequestId, attempt: AttemptNo, ended: AttemptResult) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(tried) = open.tries.get_mut(attempt.0 as usize) else { return };
         if tried.cancel.take().is_none() {
@@ -359,7 +366,7 @@
         let (endpoint, sent) = (tried.endpoint, tried.sent);
         // Until a body has come whole, no endpoint takes any time over it.
         let elapsed = if open.coming.is_some() { Duration::ZERO } else { sent.elapsed() };
-        let Ended { outcome, body, report } = ended;
+        let AttemptResult { outcome, body, report } = ended;
         if !outcome.never_ran() {
             open.noted = false; // it stays remembered
         } else if let Some(key) = open.key.filter(|_| open.noted && open.out == 0) {
@@ -379,7 +386,7 @@
             self.outbound.close_idle_since(endpoint, sent);
         }
         if outcome == Outcome::Ok {
-            self.finish(id, Answer::Served(body));
+            self.finish(id, FinalResponse::Served(body));
         } else {
             self.count(outcome_name(outcome));
         }
@@ -436,11 +443,11 @@
         match action {
             Action::Send { request, endpoint, timeout } => self.send(request, endpoint, timeout),
             Action::Refuse { request, retry_after } => {
-                self.finish(request, Answer::Refused(retry_after));
+                self.finish(request, FinalResponse::Refused(retry_after));
                 self.tidy(request);
             }
             Action::Fail { request } => {
-                self.finish(request, Answer::Failed);
+                self.finish(request, FinalResponse::Failed);
                 self.tidy(request);
             }
             Action::Cancel { request, attempt } => {
@@ -458,8 +465,8 @@
             }
             Action::CancelTimer { token } => self.timers.drop(token.0),
             // These fail only while the process ends.
-            Action::Watch(on) => drop(self.calls.send(Call::Watch(on))),
-            Action::FetchList => drop(self.calls.send(Call::Fetch)),
+            Action::Watch(on) => drop(self.calls.send(ListCommand::Watch(on))),
+            Action::FetchList => drop(self.calls.send(ListCommand::Fetch)),
             Action::Probe { endpoint } => self.probe(endpoint),
             Action::CloseIdle { endpoint } => self.outbound.close_idle(endpoint),
             Action::Log(text) => info!(said = text, "module"),
@@ -470,7 +477,7 @@
     fn send(&mut self, id: RequestId, endpoint: EndpointId, timeout: Duration) {
         let repeats_until = self.balancer.retry_deadline(id);
         let Some(open) = self.requests.get_mut(&id) else { return };
-        if open.client.has_gone() {
+        if open.client.is_disconnected() {
             open.answer = None; // its leaving is still on its way here, behind what came before it
         }
         let (now, attempt) = (Instant::now(), AttemptNo(open.tries.len() as u32));
@@ -509,7 +516,7 @@
             let zone = || self.balancer.location(endpoint).map(|(zone, _)| zone);
             self.call_observer.attempt_started((id, attempt), open.class, &zone);
         }
-        let request = open.forward.request(address);
+        let request = open.forward.for_endpoint(address);
         let time_left = match open.coming {
             Some(time) => TimeLeft::after_body(open.deadline.subscribe(), time),
             None => TimeLeft::until(open.deadline.subscribe(), until),
@@ -522,25 +529,25 @@
             let progress = AttemptProgress::for_request(conditions);
             let ended = tokio::select! {
                 biased;
-                _ = &mut cancelled => Ended::bare(Outcome::Cancelled),
+                _ = &mut cancelled => AttemptResult::from_outcome(Outcome::Cancelled),
                 ended = outbound.attempt(endpoint, address, request, &progress) => ended,
-                () = passed(&mut deadline, until) => Ended::bare(progress.timeout_outcome()),
+                () = passed(&mut deadline, until) => AttemptResult::from_outcome(progress.timeout_outcome()),
             };
             let _ = inbox.send(Input::AttemptEnded(id, attempt, ended));
         });
     }
 
     /// Gives a request its final answer, unless it has had one.
-    fn finish(&mut self, id: RequestId, answer: Answer) {
+    fn finish(&mut self, id: RequestId, answer: FinalResponse) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(to) = open.answer.take() else { return };
         match &answer {
-            Answer::Served(_) => {}
-            Answer::Refused(wait) => {
+            FinalResponse::Served(_) => {}
+            FinalResponse::Refused(wait) => {
                 debug!(request = id.0, reason = "refused", retry_after = ?wait, "final answer");
                 self.count("refused");
             }
-            Answer::Failed => {
+            FinalResponse::Failed => {
                 debug!(request = id.0, reason = "failed", "final answer");
                 self.count("failed");
             }
--- a/crates/runtime/src/driver/list.rs
+++ b/crates/runtime/src/driver/list.rs
@@ -1,7 +1,7 @@
 //! What the driver does with the endpoint list: addresses, which endpoints may be written to, and until when the list may be used.
 
 use super::Driver;
-use crate::events::{ListStatus, News};
+use crate::events::{ListStatus, ListUpdate};
 use curlewhub_balance::{EndpointId, EndpointInfo, EndpointState, Event, Membership};
 use std::collections::HashSet;
 use std::time::Duration;
@@ -26,7 +26,7 @@
     }
 
     /// Applies a list, or a change of one: addresses, what may be written to, and the balancer's membership.
-    pub(super) fn list(&mut self, news: News) {
+    pub(super) fn list(&mut self, news: ListUpdate) {
         for (id, address) in &news.addresses {
             let before = self.addresses.insert(*id, *address);
             if before.is_some_and(|before| before != *address) {
@@ -81,16 +81,16 @@
 
     /// Behind its expiry nothing new begins by the list that is held, neither chosen nor written.
     pub(super) fn list_status(&mut self, status: ListStatus) {
-        let before = self.list_status.replace(status).and_then(|before| before.expires);
-        if let Some(lapsed) = before.filter(|at| *at < Instant::now() && status.expires != Some(*at)) {
+        let before = self.list_status.replace(status).and_then(|before| before.expires_at);
+        if let Some(lapsed) = before.filter(|at| *at < Instant::now() && status.expires_at != Some(*at)) {
             let lapsed_ms = lapsed.elapsed().as_millis() as u64;
             info!(lapsed_ms, version = status.version, "list could not be used: requests were held");
         }
-        if before == status.expires {
+        if before == status.expires_at {
             return;
         }
-        self.outbound.set_list_lease(status.expires);
-        let left = status.expires.map(|at| at.saturating_duration_since(Instant::now()));
+        self.outbound.set_list_lease(status.expires_at);
+        let left = status.expires_at.map(|at| at.saturating_duration_since(Instant::now()));
         let expires = left.map(|left| self.clock.now() + left);
         self.handle(Event::ListLease { expires });
     }
--- a/crates/runtime/src/events.rs
+++ b/crates/runtime/src/events.rs
@@ -1,5 +1,5 @@
-//! What the parts of the sidecar tell each other: requests and their answers, what happened on sockets,
-//! news of the list, and operators' calls. Values alone: nothing here does anything.
+//! The messages that pass between the parts of the sidecar: requests and their responses, socket events,
+//! updates of the endpoint list, and operators' commands. They are plain values without logic of their own.
 
 use crate::figures::EndpointSummary;
 use crate::streaming::{RequestBody, ResponseBody};
@@ -19,62 +19,64 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Where the rest of the sidecar reports to the driver.
+/// Queue of the inputs that the rest of the sidecar sends to the driver.
 pub type Inbox = UnboundedSender<Input>;
 
-/// Something that happened on a socket.
+/// An input of the driver: something that happened on a socket, or a change of the list.
 pub enum Input {
-    /// A request has come whole.
-    Arrived(Box<Arrival>),
-    /// More of a long body has gone to an endpoint than is kept.
-    BodyFlows(RequestId),
-    /// A long body has come whole: the answer must be on its way by then.
-    BodyWhole(RequestId, Instant),
-    /// Its client has gone.
-    ClientGone(RequestId),
+    /// A request was received; its body may still be incomplete (`request.body_incomplete`).
+    RequestReceived(Box<ReceivedRequest>),
+    /// More of a long body has been sent to an endpoint than is buffered, so it can't be sent again.
+    BodyNotReplayable(RequestId),
+    /// A long body was received completely; the response must be on its way by this time.
+    BodyComplete(RequestId, Instant),
+    /// The request's client has disconnected.
+    ClientDisconnected(RequestId),
     /// An attempt ended.
-    AttemptEnded(RequestId, AttemptNo, Ended),
-    /// A probe ended; it took so long.
-    ProbeEnded(EndpointId, Ended, Duration),
-    /// News from discovery.
-    List(News),
-    /// How the list that is held stands, until the next such word.
+    AttemptEnded(RequestId, AttemptNo, AttemptResult),
+    /// A probe ended after this duration.
+    ProbeEnded(EndpointId, AttemptResult, Duration),
+    /// An update of the endpoint list.
+    ListUpdate(ListUpdate),
+    /// The status of the current list, valid until the next one is sent.
     ListStatus(ListStatus),
-    /// Start from what another process has learnt; told whether that is so.
+    /// Restores the learned state of another process; replies with whether that succeeded.
     Restore(Box<Snapshot>, oneshot::Sender<bool>),
-    /// The process must end: fail what is still open.
-    GiveUp,
+    /// The process is about to exit: fails all requests that are still open.
+    FailOpenRequests,
 }
 
-/// Where operators' calls go.
+/// Queue of commands to the driver.
 pub type Commands = UnboundedSender<Command>;
 
-/// What operators ask of the driver.
+/// A command to the driver, from operators, the control plane or another process of the sidecar. Commands
+/// are handled ahead of inputs.
 pub enum Command {
-    /// How many endpoints are listed, and how many of them avoided.
-    Hosts(oneshot::Sender<EndpointSummary>),
+    /// Replies with how many endpoints are listed and how many of them are avoided.
+    SummarizeEndpoints(oneshot::Sender<EndpointSummary>),
     /// Replies with a snapshot of the balancer's learned state.
     CaptureSnapshot(oneshot::Sender<Snapshot>),
-    /// Take the endpoint of this uid out of use, or give it back.
+    /// Bans the endpoint with this uid, or lifts its ban.
     Ban {
         /// The uid.
         uid: String,
-        /// Out of use, rather than back.
-        on: bool,
-        /// The process beside this one knows it, though this one may not yet.
-        known: bool,
-        /// Told once that holds and is on disk, or why it isn't so.
-        told: oneshot::Sender<Result<(), &'static str>>,
+        /// Whether it is banned from now on.
+        banned: bool,
+        /// Whether the other process of this sidecar knows the endpoint: it need not be listed here yet.
+        known_to_peer: bool,
+        /// Replied to once the change is in force and on disk, or with the reason why it is not.
+        reply: oneshot::Sender<Result<(), &'static str>>,
     },
-    /// This may go into zones from now on.
-    Zones(ZoneAdmissions),
-    /// Probe so many endpoints of a zone; one that has not answered within the time counts as not there.
+    /// Sets the traffic that this sidecar may send to zones from now on.
+    SetZoneAdmissions(ZoneAdmissions),
+    /// Probes endpoints of a zone; an endpoint that has not answered within the timeout counts as
+    /// unreachable.
     ProbeZone {
         /// The zone.
         zone: ZoneId,
-        /// How many.
+        /// The number of endpoints to probe.
         count: u32,
-        /// The time.
+        /// The timeout.
         within: Duration,
     },
     /// Another process of this sidecar has connected.
@@ -101,135 +103,136 @@
     Parts(u32, ShareTransfer),
 }
 
-/// A request as it came in.
-pub struct Arrival {
-    /// For the module; its time left is set here.
+/// A request received from a client.
+pub struct ReceivedRequest {
+    /// The request for the balancer; the driver sets its time left.
     pub request: curlewhub_balance::Request,
-    /// The hash of its key, where it has one whose repeats must keep to a group of endpoints.
+    /// The hash of its idempotency key, if repeats with that key must stay within a group of endpoints.
     pub key: Option<u64>,
-    /// When the answer must be on its way; the longest that its body may take, where that still comes.
+    /// When the response must be on its way. While the body is incomplete: the longest time that receiving
+    /// it may take.
     pub deadline: Instant,
-    /// The time that its client waits from its last byte on.
-    pub time: Duration,
-    /// What goes on to an endpoint.
-    pub forward: Forward,
-    /// Where the final answer goes.
-    pub answer: oneshot::Sender<Answer>,
-    /// Whether its client is still there.
-    pub client: Client,
-}
-
-/// Whether a request's client is still there. It is told the moment that the client's connection ends, ahead of any
-/// queue: nothing may begin for one that has gone.
+    /// How long the client waits for the response, from its last byte on.
+    pub response_timeout: Duration,
+    /// The request as it is forwarded to endpoints.
+    pub forwarded: ForwardedRequest,
+    /// Receives the final response.
+    pub reply: oneshot::Sender<FinalResponse>,
+    /// Whether its client is still connected.
+    pub client: ClientStatus,
+}
+
+/// Whether a request's client is still connected. It is set at the moment the client's connection ends,
+/// ahead of any queue: nothing may be started for a client that has disconnected.
 #[derive(Clone, Default)]
-pub struct Client(Rc<(Cell<bool>, Notify)>);
+pub struct ClientStatus(Rc<(Cell<bool>, Notify)>);
 
-impl Client {
-    /// It has gone; nothing undoes that.
-    pub fn leaves(&self) {
+impl ClientStatus {
+    /// Marks the client as disconnected; final.
+    pub fn set_disconnected(&self) {
         self.0.0.set(true);
         self.0.1.notify_waiters();
     }
 
-    /// Whether it has gone.
-    pub fn has_gone(&self) -> bool {
+    /// Whether the client has disconnected.
+    pub fn is_disconnected(&self) -> bool {
         self.0.0.get()
     }
 
-    /// Waits until it has gone.
-    pub async fn gone(&self) {
+    /// Waits until the client has disconnected.
+    pub async fn disconnected(&self) {
         loop {
-            // Registered before the look, so that its leaving does not fall between the two.
-            let mut gone = std::pin::pin!(self.0.1.notified());
-            gone.as_mut().enable();
-            if self.has_gone() {
+            // Registered before the check, so that a disconnect in between is not missed.
+            let mut notified = std::pin::pin!(self.0.1.notified());
+            notified.as_mut().enable();
+            if self.is_disconnected() {
                 return;
             }
-            gone.await;
+            notified.await;
         }
     }
 }
 
-/// A request as it goes on to an endpoint.
-pub struct Forward {
-    /// Its method.
+/// A request as it is forwarded to endpoints.
+pub struct ForwardedRequest {
+    /// The method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
     /// End-to-end headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: RequestBody,
 }
 
-/// A final answer.
-pub enum Answer {
-    /// Served, with the body of an endpoint's answer.
+/// The final response to a request.
+pub enum FinalResponse {
+    /// Served, with the body of an endpoint's response.
     Served(ResponseBody),
-    /// Refused: trying again is harmless, after this long if it is stated.
+    /// Refused: retrying is harmless, after this time if it is given.
     Refused(Option<Duration>),
     /// Failed.
     Failed,
 }
 
 /// How an attempt or a probe ended.
-pub struct Ended {
+pub struct AttemptResult {
     /// The outcome.
     pub outcome: Outcome,
-    /// The body of a 200.
+    /// The body of a response with status 200; empty otherwise.
     pub body: ResponseBody,
-    /// The load report, if one came.
+    /// The endpoint's load report, if it sent one.
     pub report: Option<Vec<f64>>,
 }
 
-impl Ended {
-    /// An end that brought nothing but itself.
-    pub fn bare(outcome: Outcome) -> Self {
-        Ended { outcome, body: ResponseBody::Buffered(Bytes::new()), report: None }
+impl AttemptResult {
+    /// A result with neither a body nor a load report.
+    pub fn from_outcome(outcome: Outcome) -> Self {
+        AttemptResult { outcome, body: ResponseBody::Buffered(Bytes::new()), report: None }
     }
 }
 
-/// News of the list in the module's terms, and where the endpoints are.
-pub struct News {
-    /// For the module.
+/// An update of the endpoint list: the membership for the balancer, and the addresses of the endpoints.
+pub struct ListUpdate {
+    /// The membership for the balancer.
     pub membership: Membership,
-    /// Addresses of those named.
+    /// The addresses of the endpoints named in it.
     pub addresses: Vec<(EndpointId, SocketAddr)>,
 }
 
-/// How the endpoint list that is held stands.
+/// The status of the current endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListStatus {
-    /// From then on nothing new may begin by it; none while nothing bounds its use.
-    pub expires: Option<Instant>,
-    /// Its version, of the server that it is from.
+    /// From this time on the list must not be used for anything new; none while its use is not limited.
+    pub expires_at: Option<Instant>,
+    /// The version that its discovery server gave it.
     pub version: u64,
-    /// When discovery was heard last, where no watch is up.
+    /// When discovery last confirmed the list; none while a watch is up.
     pub unwatched_since: Option<Instant>,
 }
 
 impl ListStatus {
-    /// For how long nothing has been heard of it; zero while a watch is up, and for a list that nobody changes.
+    /// Time since discovery last confirmed the list; zero while a watch is up, and for a static list.
     pub fn age(&self) -> Duration {
         self.unwatched_since.map_or(Duration::ZERO, |since| since.elapsed())
     }
 }
 
-/// What the driver may ask of discovery.
-pub enum Call {
-    /// Follow changes, or stop.
+/// A command to the source of the endpoint list: discovery or the static list.
+pub enum ListCommand {
+    /// Starts following changes, or stops.
     Watch(bool),
-    /// Ask for the whole list once.
+    /// Fetches the whole list once.
     Fetch,
-    /// Discovery is at another address from now on.
-    Move(SocketAddr),
-    /// The static list is this one from now on.
-    Replace(Vec<Target>),
+    /// Sets the address of the discovery server.
+    SetAddress(SocketAddr),
+    /// Replaces the static list.
+    ReplaceTargets(Vec<Target>),
 }
 
-impl Forward {
-    /// As it goes to the endpoint at this address, but for the time left: see `tell_time_left`.
-    pub fn request(&self, address: SocketAddr) -> Request<RequestBody> {
+impl ForwardedRequest {
+    /// The request for the endpoint at this address, without the header that [`set_timeout_header`] sets.
+    pub fn for_endpoint(&self, address: SocketAddr) -> Request<RequestBody> {
         let mut request = Request::new(self.body.clone());
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
@@ -240,8 +243,9 @@
     }
 }
 
-/// Tells an endpoint how much of the client's time is left, right before the request is written.
-pub fn tell_time_left(headers: &mut HeaderMap, left: Duration) {
+/// Sets the header that tells an endpoint how much of the client's time is left; called right before the
+/// request is written.
+pub fn set_timeout_header(headers: &mut HeaderMap, left: Duration) {
     headers.insert(HeaderName::from_static("x-timeout"), header_value(format!("{}u", left.as_micros())));
 }
 
--- a/crates/runtime/src/handover/mod.rs
+++ b/crates/runtime/src/handover/mod.rs
@@ -203,7 +203,7 @@
     /// Applies the ban of another process. It is not acknowledged if it can't be kept, so that its caller gets a refusal.
     async fn apply_ban(&self, uid: String, banned: bool, peer: &Peer) {
         let (reply, applied) = oneshot::channel();
-        let _ = self.commands.send(Command::Ban { uid, on: banned, known: true, told: reply });
+        let _ = self.commands.send(Command::Ban { uid, banned, known_to_peer: true, reply });
         if matches!(applied.await, Ok(Ok(()))) {
             peer.send(Message::BanAcknowledged);
         }
--- a/crates/runtime/src/inbound/exchange.rs
+++ b/crates/runtime/src/inbound/exchange.rs
@@ -3,7 +3,7 @@
 use super::Inbound;
 use super::connection::{Step, Turn};
 use super::request::{Bad, bad, drop_hop_headers, plain, spoilt};
-use crate::events::{Answer, Arrival, Client, Forward, Inbox, Input};
+use crate::events::{ClientStatus, FinalResponse, ForwardedRequest, Inbox, Input, ReceivedRequest};
 use crate::figures::{RequestMetrics, RequestOutcome};
 use crate::streaming::{BODY_MOST, Came, RequestBody, ResponseBody, Spoilt, Upload, take_in};
 use curlewhub_balance::RequestId;
@@ -48,15 +48,15 @@
 struct Waiting<'a> {
     inbox: &'a Inbox,
     id: RequestId,
-    client: Client,
+    client: ClientStatus,
     answered: bool,
 }
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            self.client.leaves();
-            let _ = self.inbox.send(Input::ClientGone(self.id));
+            self.client.set_disconnected();
+            let _ = self.inbox.send(Input::ClientDisconnected(self.id));
         }
     }
 }
@@ -241,18 +241,25 @@
         let key = head.headers.get("idempotency-key").filter(|_| self.grouped[request.class.0]);
         let key = key.map(|key| curlewhub_keys::hash(&self.classes[request.class.0], key.as_bytes()));
         drop_hop_headers(&mut head.headers);
-        let (answer, answered) = oneshot::channel();
+        let (reply, answered) = oneshot::channel();
         // The client may have written the whole URI; endpoints know the path alone.
         let target = head.uri.path_and_query().and_then(|target| target.as_str().parse().ok());
         let uri = target.unwrap_or(head.uri);
-        let forward = Forward { method: head.method, uri, headers: head.headers, body };
+        let forwarded = ForwardedRequest { method: head.method, uri, headers: head.headers, body };
         let within = time - ANSWER_MARGIN.min(time / 10);
         let deadline = came + if upload.is_some() { UPLOAD_MOST } else { within };
-        let client = Client::default();
-        let arrival =
-            Arrival { request, key, deadline, time: within, forward, answer, client: client.clone() };
+        let client = ClientStatus::default();
+        let arrival = ReceivedRequest {
+            request,
+            key,
+            deadline,
+            response_timeout: within,
+            forwarded,
+            reply,
+            client: client.clone(),
+        };
         let mut waiting = Waiting { inbox: &self.inbox, id, client, answered: false };
-        let _ = self.inbox.send(Input::Arrived(Box::new(arrival)));
+        let _ = self.inbox.send(Input::RequestReceived(Box::new(arrival)));
         let answer = match upload {
             // Where the module were to forget a request, its client would still be told in time.
             None => Self::undisturbed(turn, timeout_at(came + time, answered)).await?,
@@ -270,7 +277,7 @@
                         came.map_err(spoilt)?;
                         counted.record_received();
                         let came = Instant::now();
-                        let _ = self.inbox.send(Input::BodyWhole(id, came + within));
+                        let _ = self.inbox.send(Input::BodyComplete(id, came + within));
                         Self::undisturbed(turn, timeout_at(came + time, answered)).await?
                     }
                 }
@@ -278,8 +285,8 @@
         };
         waiting.answered = answer.is_ok();
         Ok(match answer {
-            Ok(Ok(Answer::Served(body))) => Response::new(body),
-            Ok(Ok(Answer::Refused(retry_after))) => {
+            Ok(Ok(FinalResponse::Served(body))) => Response::new(body),
+            Ok(Ok(FinalResponse::Refused(retry_after))) => {
                 let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
                 if let Some(wait) = retry_after
                     && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", wait.as_secs_f64()))
@@ -288,7 +295,7 @@
                 }
                 reply
             }
-            Ok(Ok(Answer::Failed) | Err(_)) => plain(StatusCode::BAD_GATEWAY, "failed"),
+            Ok(Ok(FinalResponse::Failed) | Err(_)) => plain(StatusCode::BAD_GATEWAY, "failed"),
             Err(_) => plain(StatusCode::GATEWAY_TIMEOUT, "out of time"),
         })
     }
@@ -296,7 +303,7 @@
     /// Follows a long body to its end, on its way to whichever endpoint takes it.
     async fn passed_on(&self, upload: &Upload, id: RequestId) -> Result<(), Spoilt> {
         upload.flowing().await;
-        let _ = self.inbox.send(Input::BodyFlows(id));
+        let _ = self.inbox.send(Input::BodyNotReplayable(id));
         upload.end().await
     }
 }
--- a/crates/runtime/src/inbound/mod.rs
+++ b/crates/runtime/src/inbound/mod.rs
@@ -127,7 +127,7 @@
         let _ = timeout_at(drains, self.all_gone()).await;
         self.connections.borrow().values().for_each(|turn| turn.close.notify_one());
         if timeout_at(fails, self.all_gone()).await.is_err() {
-            let _ = self.inbox.send(Input::GiveUp);
+            let _ = self.inbox.send(Input::FailOpenRequests);
             let _ = timeout_at(end.start_of(Phase::Exiting, succeeded), self.all_gone()).await;
         }
         self.connections.borrow().values().for_each(|turn| turn.cut_off());
--- a/crates/runtime/src/listing.rs
+++ b/crates/runtime/src/listing.rs
@@ -1,7 +1,7 @@
 //! The endpoint list in the module's terms, and the names behind its numbers. Every source of the list
 //! words it the same way; this is where that wording is turned into the module's.
 
-use crate::events::News;
+use crate::events::ListUpdate;
 use curlewhub_balance::{
     CellId, EndpointId, EndpointInfo, EndpointNames, EndpointState, MachineKindId, Membership, ZoneId,
 };
@@ -51,7 +51,7 @@
     }
 
     /// A list, whole or of changes, in the module's terms.
-    pub fn news(&self, list: EndpointList) -> News {
+    pub fn update(&self, list: EndpointList) -> ListUpdate {
         let mut ids = self.ids.borrow_mut();
         let place = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).unwrap_or(names.len()) as u32
@@ -87,6 +87,6 @@
         entries.reverse();
         let membership =
             if list.is_complete { Membership::Full(entries) } else { Membership::Delta(entries) };
-        News { membership, addresses }
+        ListUpdate { membership, addresses }
     }
 }
--- a/crates/runtime/src/operator.rs
+++ b/crates/runtime/src/operator.rs
@@ -130,7 +130,7 @@
             Call::Ping => said(self.lifecycle.is_ready(), &format!("{:?}", self.lifecycle.state())),
             Call::LameDuck => said(self.lifecycle.drain(), "it can't be drained"),
             Call::Rejoin => said(self.lifecycle.resume(), &format!("{:?}", self.lifecycle.state())),
-            Call::Info => match self.ask(Command::Hosts).await {
+            Call::Info => match self.ask(Command::SummarizeEndpoints).await {
                 Some(hosts) => self.figures.report(hosts) + "END\n",
                 None => said(false, "the figures did not come in time"),
             },
@@ -140,7 +140,7 @@
     }
 
     async fn ban(&self, uid: &str, on: bool) -> String {
-        let command = |told| Command::Ban { uid: uid.to_owned(), on, known: false, told };
+        let command = |reply| Command::Ban { uid: uid.to_owned(), banned: on, known_to_peer: false, reply };
         match self.ask(command).await.unwrap_or(Err("it did not come about in time")) {
             Ok(()) if self.handover.propagate_ban(uid, on).await => "YES\n".to_owned(),
             Ok(()) => "NO it holds here, but not yet in the process beside this one\n".to_owned(),
--- a/crates/runtime/src/outbound.rs
+++ b/crates/runtime/src/outbound.rs
@@ -4,7 +4,7 @@
 use super::attempt_terms::{AttemptProgress, WriteConditions};
 use super::budget::{Budget, Holder, Permit};
 use super::connect::{ConnectError, RouteFaults, connect};
-use super::events::{Ended, tell_time_left};
+use super::events::{AttemptResult, set_timeout_header};
 use super::figures::Metrics;
 use super::guard::AbortOnDrop;
 use super::load_report::LoadReportReader;
@@ -161,7 +161,7 @@
         address: SocketAddr,
         mut request: Request<RequestBody>,
         progress: &AttemptProgress,
-    ) -> Ended {
+    ) -> AttemptResult {
         // What comes ahead of an answer says nothing of when that will come.
         let ahead = Arc::new(AtomicBool::new(false));
         let seen = ahead.clone();
@@ -175,17 +175,17 @@
             let (mut link, fresh) = match linked {
                 Ok(linked) => linked,
                 Err(NoLink::LookAgain) => continue,
-                Err(NoLink::Ends(outcome)) => return Ended::bare(outcome),
+                Err(NoLink::Ends(outcome)) => return AttemptResult::from_outcome(outcome),
             };
             // An idle connection may be found closed only now.
             if !matches!(timeout(self.connect_timeout, link.sender.ready()).await, Ok(Ok(()))) {
                 if fresh {
-                    return Ended::bare(Outcome::ConnectFailed);
+                    return AttemptResult::from_outcome(Outcome::ConnectFailed);
                 }
                 continue;
             }
             if request.body().is_spent() {
-                return Ended::bare(Outcome::ConnectFailed); // the rest alone is of no use
+                return AttemptResult::from_outcome(Outcome::ConnectFailed); // the rest alone is of no use
             }
             let (heard, whole) = (link.heard.clone(), progress.fully_sent.clone());
             whole.set(false);
@@ -194,9 +194,9 @@
             if let Some(conditions) = &progress.conditions {
                 let left = conditions.time_left.at(read_at);
                 if left.is_zero() {
-                    return Ended::bare(progress.timeout_outcome());
+                    return AttemptResult::from_outcome(progress.timeout_outcome());
                 }
-                tell_time_left(request.headers_mut(), left);
+                set_timeout_header(request.headers_mut(), left);
             }
             let metrics = progress.conditions.as_ref().map(|_| self.metrics.clone());
             let request = request.clone().map(|payload| Sending::new(&payload, whole, heard, metrics));
@@ -240,14 +240,14 @@
             }
             if link.heard.withheld() {
                 progress.fully_sent.set(false);
-                return Ended::bare(Outcome::NotSent);
+                return AttemptResult::from_outcome(Outcome::NotSent);
             }
             match (read, progress.fully_sent.get(), fresh) {
                 (Some(Read::Whole(outcome, body)), whole, _) => {
                     if whole && !link.sender.is_closed() {
                         self.park(endpoint, link);
                     }
-                    return Ended { outcome, body: ResponseBody::Buffered(body), report };
+                    return AttemptResult { outcome, body: ResponseBody::Buffered(body), report };
                 }
                 (Some(Read::Long(first, rest)), whole, _) => {
                     let memory = self.budget.stream_memory(FLOW_KIB).await;
@@ -259,13 +259,13 @@
                         }
                     });
                     let body = ResponseBody::Streaming(Box::new(Flow::new(first, rest, parking, memory)));
-                    return Ended { outcome: Outcome::Ok, body, report };
+                    return AttemptResult { outcome: Outcome::Ok, body, report };
                 }
-                (None, true, _) => return Ended::bare(Outcome::Reset),
+                (None, true, _) => return AttemptResult::from_outcome(Outcome::Reset),
                 (None, false, true) if link.heard.broke_locally() => {
-                    return Ended::bare(Outcome::LocalFault);
+                    return AttemptResult::from_outcome(Outcome::LocalFault);
                 }
-                (None, false, true) => return Ended::bare(Outcome::ConnectFailed),
+                (None, false, true) => return AttemptResult::from_outcome(Outcome::ConnectFailed),
                 (None, false, false) => {} // a kept connection says nothing of its endpoint: another one
             }
         }
@@ -322,18 +322,22 @@
     }
 
     /// Asks an endpoint for its load.
-    pub async fn probe(self: &Rc<Self>, endpoint: EndpointId, address: SocketAddr) -> Ended {
+    pub async fn probe(self: &Rc<Self>, endpoint: EndpointId, address: SocketAddr) -> AttemptResult {
         let request = Request::get("/-/load").header(header::HOST, address.to_string());
-        let Ok(request) = request.body(RequestBody::empty()) else { return Ended::bare(Outcome::Error) };
+        let Ok(request) = request.body(RequestBody::empty()) else {
+            return AttemptResult::from_outcome(Outcome::Error);
+        };
         let progress = AttemptProgress::for_probe();
         match timeout(PROBE, self.attempt(endpoint, address, request, &progress)).await {
             Ok(mut ended) => {
-                let ResponseBody::Buffered(body) = &ended.body else { return Ended::bare(Outcome::Error) };
+                let ResponseBody::Buffered(body) = &ended.body else {
+                    return AttemptResult::from_outcome(Outcome::Error);
+                };
                 let in_body = std::str::from_utf8(body).ok().and_then(|text| self.load_reports.read(text));
                 ended.report = in_body.or(ended.report);
                 ended
             }
-            Err(_) => Ended::bare(progress.timeout_outcome()),
+            Err(_) => AttemptResult::from_outcome(progress.timeout_outcome()),
         }
     }
 
--- a/crates/runtime/src/static_list.rs
+++ b/crates/runtime/src/static_list.rs
@@ -4,7 +4,7 @@
 //! only then leaves; what is new in it, or has moved to another address, is taken for cold.
 
 use crate::clock::Clock;
-use crate::events::{Call, Inbox, Input, News};
+use crate::events::{Inbox, Input, ListCommand, ListUpdate};
 use crate::listing::Listing;
 use curlewhub_balance::Membership;
 use curlewhub_config::list::{EndpointList, Target, TargetState};
@@ -80,34 +80,34 @@
     linger: Duration,
     clock: Clock,
     listing: Rc<Listing>,
-    mut calls: UnboundedReceiver<Call>,
+    mut calls: UnboundedReceiver<ListCommand>,
     inbox: Inbox,
 ) {
     let mut held = Held::new(targets);
-    let tell = |news| drop(inbox.send(Input::List(news))); // fails only while the process ends
+    let tell = |news| drop(inbox.send(Input::ListUpdate(news))); // fails only while the process ends
     loop {
         let until = held.next();
         let call = tokio::select! {
             call = calls.recv() => call,
             () = sleep_until(until.unwrap_or_else(Instant::now)), if until.is_some() => {
                 if held.expire(Instant::now()) {
-                    tell(listing.news(held.list()));
+                    tell(listing.update(held.list()));
                 }
                 continue;
             }
         };
         match call {
             None => return,
-            Some(Call::Watch(_)) => {
-                tell(News { membership: Membership::Delta(Vec::new()), addresses: Vec::new() });
+            Some(ListCommand::Watch(_)) => {
+                tell(ListUpdate { membership: Membership::Delta(Vec::new()), addresses: Vec::new() });
             }
-            Some(Call::Fetch) => tell(listing.news(held.list())),
-            Some(Call::Move(_)) => {} // there is no discovery to move to
-            Some(Call::Replace(new)) => {
+            Some(ListCommand::Fetch) => tell(listing.update(held.list())),
+            Some(ListCommand::SetAddress(_)) => {} // there is no discovery to move to
+            Some(ListCommand::ReplaceTargets(new)) => {
                 held.replace(new, Instant::now(), linger, clock.now().as_secs_f64() * 1e3);
                 let (endpoints, draining) = (held.targets.len(), held.leaving.len());
                 info!(rev = held.rev, endpoints, draining, "list from the file");
-                tell(listing.news(held.list()));
+                tell(listing.update(held.list()));
             }
         }
     }
