--- a/crates/runtime/src/attempt_terms.rs
+++ b/crates/runtime/src/attempt_terms.rs
@@ -1,4 +1,4 @@
-//! How far an attempt has come, and what must hold when its first byte is written.
+//! How far an attempt has progressed, and the conditions under which its first byte may be written.
 
 use super::events::Client;
 use super::time_left::TimeLeft;
@@ -7,22 +7,25 @@
 use std::rc::Rc;
 use tokio::time::{Instant, sleep_until};
 
-/// How far an attempt has come: what is stopped before its last byte was handed over never ran.
+/// How far an attempt has progressed. If it is stopped before its last byte was handed over, the endpoint
+/// has not processed it.
 pub struct AttemptProgress {
-    /// All of the request was handed over.
+    /// The whole request was handed over to the connection.
     pub(super) fully_sent: Rc<Cell<bool>>,
-    /// Of a request's attempt, and no probe.
+    /// The conditions of a request's attempt; none for a probe.
     pub(super) conditions: Option<WriteConditions>,
 }
 
-/// What must hold as a request's first byte is written, whatever the attempt has waited for until then.
+/// Conditions that must hold when the first byte of a request is written, whatever the attempt has waited
+/// for until then.
 #[derive(Clone)]
 pub struct WriteConditions {
-    /// Its client is still there.
+    /// The client must still be connected.
     pub client: Client,
-    /// A repeat of what may have run begins by then; none where nothing has.
+    /// A repeat of a request that may have been processed must begin before this; none if no earlier
+    /// attempt may have been.
     pub begin_by: Option<Instant>,
-    /// What its endpoint is told of the client's time.
+    /// The remaining time that is sent to the endpoint.
     pub time_left: TimeLeft,
 }
 
@@ -32,7 +35,7 @@
         !self.client.has_gone() && self.begin_by.is_none_or(|by| Instant::now() < by)
     }
 
-    /// Ends once they don't hold any more.
+    /// Returns once they no longer hold.
     pub(super) async fn violated(&self) {
         tokio::select! {
             () = self.client.gone() => {}
@@ -42,17 +45,18 @@
 }
 
 impl AttemptProgress {
-    /// An attempt of a request under these conditions, of which nothing has been written.
+    /// Progress of a request's attempt, of which nothing has been written.
     pub fn for_request(conditions: WriteConditions) -> Self {
         AttemptProgress { fully_sent: Rc::default(), conditions: Some(conditions) }
     }
 
-    /// A probe.
+    /// Progress of a probe.
     pub fn for_probe() -> Self {
         AttemptProgress { fully_sent: Rc::default(), conditions: None }
     }
 
-    /// The outcome of no longer waiting: a request not written whole proves that it never ran.
+    /// The outcome if the attempt is no longer waited for: a request that was not written completely was
+    /// not processed.
     pub fn timeout_outcome(&self) -> Outcome {
         if self.fully_sent.get() { Outcome::TimedOut } else { Outcome::ConnectFailed }
     }
--- a/crates/runtime/src/budget.rs
+++ b/crates/runtime/src/budget.rs
@@ -1,35 +1,35 @@
-//! The budget of sockets: every client and endpoint connection holds a permit, so that the limits
-//! on descriptors and memory are kept by count.
+//! The budget of sockets and body memory: every client and endpoint connection holds a permit, so that the
+//! limits on descriptors and memory are enforced by counting.
 
 use curlewhub_config::MIN_SOCKETS;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Descriptors kept free for the listener, the runtime, standard streams, discovery, operators and
-/// shed clients.
-const RESERVE: usize = 48;
-/// The configuration sees to it that some are left to serve with.
-const _: () = assert!(MIN_SOCKETS >= RESERVE + 16);
-/// Clients over the cap that may still be told so, out of the reserve.
-const SHED_MOST: usize = 24;
-/// Operators who may call at once, out of the reserve.
-const OPERATORS_MOST: usize = 8;
-/// The most memory that a client's request may take with its buffers, bodies and attempt, in KiB.
-const CLIENT_KIB: usize = 160;
-
-/// Of all memory, so much is for bodies that are kept or flow through; the rest is the clients' and the
-/// program's own.
-const BODIES_PART: usize = 4;
-/// Of that, so many quarters at the most for bytes that are kept: what flows is never starved by them.
-const KEPT_QUARTERS: usize = 3;
+/// Descriptors reserved for the listener, the runtime, standard streams, discovery, operators and clients
+/// that are refused.
+const RESERVED_SOCKETS: usize = 48;
+/// The configuration ensures that some are left to serve with.
+const _: () = assert!(MIN_SOCKETS >= RESERVED_SOCKETS + 16);
+/// Clients over the limit that can still be sent a refusal, out of the reserve.
+const MAX_SHED_CLIENTS: usize = 24;
+/// Operator connections at a time, out of the reserve.
+const MAX_OPERATORS: usize = 8;
+/// Maximum memory of a client's request with its buffers, bodies and attempt, in KiB.
+const KIB_PER_CLIENT: usize = 160;
+
+/// Divisor: the part of all memory that is for buffered and streamed bodies. The rest is for clients and
+/// the program itself.
+const BODY_MEMORY_DIVISOR: usize = 4;
+/// Quarters of that part that buffered bytes may take, so that they never starve streamed bodies.
+const BUFFERED_QUARTERS: usize = 3;
 
 /// Who holds a socket.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Holder {
     /// A client.
     Client,
-    /// A client over the cap, only to be refused.
+    /// A client over the limit, which is only refused.
     Shed,
     /// A connection to an endpoint.
     Endpoint,
@@ -37,146 +37,146 @@
     Operator,
 }
 
-/// Counts of the sockets in use, and how many may be.
+/// The sockets and body memory in use, and their limits.
 pub struct Budget {
-    /// As configured.
+    /// The configured memory, in MiB.
     memory_mb: usize,
-    /// What clients and endpoints may hold together.
+    /// Limit of client and endpoint sockets together.
     total: Cell<usize>,
-    clients_most: Cell<usize>,
+    max_clients: Cell<usize>,
     clients: Cell<usize>,
     shed: Cell<usize>,
     endpoints: Cell<usize>,
     operators: Cell<usize>,
-    freed: Notify,
-    /// Memory for bodies, in KiB: how much there is, and how much of it is taken.
-    bodies_most: Cell<usize>,
-    bodies: Cell<usize>,
-    bodies_freed: Notify,
+    client_released: Notify,
+    /// Memory for bodies, in KiB: the limit, and what is in use.
+    max_body_kib: Cell<usize>,
+    body_kib: Cell<usize>,
+    body_memory_released: Notify,
 }
 
-/// Memory in use for a body; gives it back when dropped.
+/// Memory in use for a body; released when dropped.
 pub struct Memory {
     budget: Rc<Budget>,
     kib: usize,
 }
 
-/// One socket in use; gives it back when dropped.
+/// One socket in use; released when dropped.
 pub struct Permit {
     budget: Rc<Budget>,
     holder: Holder,
 }
 
 impl Budget {
-    /// A budget within so many descriptors and MiB of memory.
+    /// Creates a budget of this many descriptors and MiB of memory.
     pub fn new(sockets: usize, memory_mb: usize) -> Rc<Self> {
-        let (total, clients_most, clients, shed, endpoints, operators) = Default::default();
-        let (freed, bodies_most, bodies, bodies_freed) = Default::default();
+        let (total, max_clients, clients, shed, endpoints, operators) = Default::default();
+        let (client_released, max_body_kib, body_kib, body_memory_released) = Default::default();
         let budget = Rc::new(Budget {
             memory_mb,
             total,
-            clients_most,
+            max_clients,
             clients,
             shed,
             endpoints,
             operators,
-            freed,
-            bodies_most,
-            bodies,
-            bodies_freed,
+            client_released,
+            max_body_kib,
+            body_kib,
+            body_memory_released,
         });
         budget.set_limits(sockets, false);
         budget
     }
 
-    /// So many descriptors are this process's from now on, and half of the memory where another process
-    /// has the other half. What is held beyond that is not taken back.
+    /// Sets the number of descriptors of this process, and halves its memory while another process has the
+    /// other half. Permits beyond the new limits are not revoked.
     pub fn set_limits(&self, sockets: usize, halved: bool) {
-        self.total.set(sockets.saturating_sub(RESERVE));
-        // An attempt needs a socket too: clients must not take what their own requests go out on.
+        self.total.set(sockets.saturating_sub(RESERVED_SOCKETS));
+        // An attempt needs a socket too: clients must not take those that their own requests are sent on.
         let memory_kib = self.memory_mb.saturating_mul(1024) / if halved { 2 } else { 1 };
-        self.bodies_most.set(memory_kib / BODIES_PART);
-        self.bodies_freed.notify_waiters();
-        let by_memory = memory_kib / 2 / CLIENT_KIB;
-        self.clients_most.set((self.total.get() * 5 / 8).min(by_memory).max(1));
+        self.max_body_kib.set(memory_kib / BODY_MEMORY_DIVISOR);
+        self.body_memory_released.notify_waiters();
+        let by_memory = memory_kib / 2 / KIB_PER_CLIENT;
+        self.max_clients.set((self.total.get() * 5 / 8).min(by_memory).max(1));
     }
 
-    /// No more than are held now, and so many more, are this process's from now on.
+    /// Lowers the limit to the sockets in use plus `more`.
     pub fn limit_to_current(&self, more: usize) {
         self.total.set(self.total.get().min(self.in_use() + more));
     }
 
-    /// The descriptors that are this process's.
+    /// The number of descriptors of this process.
     pub fn socket_limit(&self) -> usize {
-        self.total.get() + RESERVE
+        self.total.get() + RESERVED_SOCKETS
     }
 
-    /// Whether more are held than may be.
+    /// Whether more sockets are in use than the limit.
     pub fn is_exceeded(&self) -> bool {
         self.in_use() > self.total.get()
     }
 
-    /// A permit, if there is room for one.
+    /// Acquires a permit, if one is available.
     pub fn try_acquire(self: &Rc<Self>, holder: Holder) -> Option<Permit> {
-        let room = match holder {
+        let available = match holder {
             Holder::Client => {
-                self.clients.get() < self.clients_most.get() && self.in_use() < self.total.get()
+                self.clients.get() < self.max_clients.get() && self.in_use() < self.total.get()
             }
-            Holder::Shed => self.shed.get() < SHED_MOST,
+            Holder::Shed => self.shed.get() < MAX_SHED_CLIENTS,
             Holder::Endpoint => self.in_use() < self.total.get(),
-            Holder::Operator => self.operators.get() < OPERATORS_MOST,
+            Holder::Operator => self.operators.get() < MAX_OPERATORS,
         };
-        room.then(|| {
+        available.then(|| {
             let count = self.count(holder);
             count.set(count.get() + 1);
             Permit { budget: self.clone(), holder }
         })
     }
 
-    /// Memory for bytes of a body that are kept for a while, if there is some.
+    /// Acquires memory for buffered bytes of a body, if it is available.
     pub fn try_buffer_memory(self: &Rc<Self>, kib: usize) -> Option<Memory> {
-        self.try_take_memory(kib, self.bodies_most.get() * KEPT_QUARTERS / 4)
+        self.try_take_memory(kib, self.max_body_kib.get() * BUFFERED_QUARTERS / 4)
     }
 
-    /// Memory for a body that flows, once there is some.
+    /// Waits for memory for a streamed body.
     pub async fn stream_memory(self: &Rc<Self>, kib: usize) -> Memory {
         loop {
-            // Registered before the look, so that what comes free between the two is not missed.
-            let mut freed = std::pin::pin!(self.bodies_freed.notified());
-            freed.as_mut().enable();
-            if let Some(memory) = self.try_take_memory(kib, self.bodies_most.get()) {
+            // Registered before the check, so that a release between the two is not missed.
+            let mut released = std::pin::pin!(self.body_memory_released.notified());
+            released.as_mut().enable();
+            if let Some(memory) = self.try_take_memory(kib, self.max_body_kib.get()) {
                 return memory;
             }
-            freed.await;
+            released.await;
         }
     }
 
-    fn try_take_memory(self: &Rc<Self>, kib: usize, most: usize) -> Option<Memory> {
-        let taken = self.bodies.get() + kib;
-        (taken <= most).then(|| {
-            self.bodies.set(taken);
+    fn try_take_memory(self: &Rc<Self>, kib: usize, limit: usize) -> Option<Memory> {
+        let in_use = self.body_kib.get() + kib;
+        (in_use <= limit).then(|| {
+            self.body_kib.set(in_use);
             Memory { budget: self.clone(), kib }
         })
     }
 
-    /// Whether only the connections to endpoints stand in the way of one more client.
+    /// Whether one more client is prevented only by the connections to endpoints.
     pub fn is_full_of_endpoints(&self) -> bool {
-        self.clients.get() < self.clients_most.get() && self.in_use() >= self.total.get()
+        self.clients.get() < self.max_clients.get() && self.in_use() >= self.total.get()
     }
 
-    /// Whether clients hold three quarters of what they may.
+    /// Whether clients hold more than three quarters of their limit.
     pub fn is_crowded(&self) -> bool {
-        self.clients.get() * 4 > self.clients_most.get() * 3
+        self.clients.get() * 4 > self.max_clients.get() * 3
     }
 
-    /// Connected clients.
+    /// Number of connected clients, including those that are being refused.
     pub fn clients(&self) -> usize {
         self.clients.get() + self.shed.get()
     }
 
-    /// Waits until a client's socket comes free.
+    /// Waits until a client's socket is released.
     pub async fn client_released(&self) {
-        self.freed.notified().await;
+        self.client_released.notified().await;
     }
 
     fn in_use(&self) -> usize {
@@ -195,8 +195,8 @@
 
 impl Drop for Memory {
     fn drop(&mut self) {
-        self.budget.bodies.set(self.budget.bodies.get() - self.kib);
-        self.budget.bodies_freed.notify_waiters();
+        self.budget.body_kib.set(self.budget.body_kib.get() - self.kib);
+        self.budget.body_memory_released.notify_waiters();
     }
 }
 
@@ -205,7 +205,7 @@
         let count = self.budget.count(self.holder);
         count.set(count.get() - 1);
         if matches!(self.holder, Holder::Client | Holder::Shed) {
-            self.budget.freed.notify_one();
+            self.budget.client_released.notify_one();
         }
     }
 }
--- a/crates/runtime/src/figures.rs
+++ b/crates/runtime/src/figures.rs
@@ -1,20 +1,20 @@
-//! The one owner of the counts that operators read. Each is raised where the thing that it counts
-//! ends, once; reading them works nothing out again.
+//! Metrics of the process, as the operator address reports them. Each counter is incremented once, when the
+//! event that it counts ends; a report recomputes no counter.
 //!
-//! A request is `taken` once its last byte has come, and in flight until its answer has been handed
-//! over to its client's connection. It ends in exactly one count: `success` where an endpoint's answer
-//! was passed on to its end, `busy` where it was refused, `failure` for everything else: failed,
-//! malformed, cut off, or left by its client before its answer. A request whose class can't be told
-//! stands under the class `unknown`.
+//! A request is received once its last byte has arrived, and in flight from then until its response has
+//! been handed over to its client's connection. It ends in exactly one counter: `success` if an endpoint's
+//! response was forwarded to its end, `busy` if the request was refused, `failure` otherwise: failed,
+//! malformed, cut off, or abandoned by its client before the response. A request of unknown class is
+//! counted under the class `unknown`.
 
 use crate::events::ListStatus;
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// All metrics' names begin with this.
+/// Prefix of all metric names.
 const PREFIX: &str = "router";
-/// Stands for the class of a request that names none.
+/// Class under which requests are counted that name no known class.
 const UNKNOWN: &str = "unknown";
 
 /// How a request ended.
@@ -35,22 +35,23 @@
     failure: Cell<u64>,
 }
 
-/// The endpoints as the driver and the module see them now.
+/// The current state of the endpoints, as the driver and the balancer see it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointSummary {
-    /// In the list.
+    /// Number of listed endpoints.
     pub listed: usize,
-    /// Of these, avoided: taken out by hand, leaving, or failing.
+    /// How many of them are avoided: banned by an operator, leaving, or failing.
     pub down: usize,
-    /// Parts of 64 of what one sidecar may use that this process holds: fewer beside another process of it.
+    /// Share of the sidecar's limits that this process holds, in 64ths: fewer than 64 while another process
+    /// of the same sidecar runs.
     pub parts: u32,
-    /// How the list stands, where discovery brings it.
+    /// Status of the list, if it comes from discovery.
     pub list: Option<ListStatus>,
 }
 
-/// The counts since the start of the process.
+/// All metrics, counted since the start of the process.
 pub struct Metrics {
-    /// The settings' classes, and behind them the unknown.
+    /// The configured classes, followed by the unknown class.
     classes: Vec<Class>,
     backend_calls: Cell<u64>,
     in_flight: Cell<u64>,
@@ -60,22 +61,22 @@
     snapshot_failed: Cell<u64>,
     keys: Cell<u64>,
     keys_failed: Cell<u64>,
-    /// What stands beside the sidecar's own: its part in a fleet, where there is one.
+    /// Metrics that other parts of the process supply: those of the fleet, if the sidecar is in one.
     external: RefCell<Vec<ExternalMetric>>,
 }
 
-/// A figure that another part of the process tells.
+/// A metric that another part of the process supplies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExternalMetric {
     /// Its name.
     pub name: &'static str,
     /// Its value.
     pub value: u64,
-    /// It only rises; else it goes up and down.
+    /// A counter, which never decreases; otherwise a gauge.
     pub is_counter: bool,
 }
 
-/// A request until it ends; counts it when dropped.
+/// Metrics of one request; it is counted when this is dropped.
 pub struct RequestMetrics {
     metrics: Rc<Metrics>,
     class: usize,
@@ -83,12 +84,12 @@
     outcome: RequestOutcome,
 }
 
-fn raise(count: &Cell<u64>) {
+fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
 
 impl Metrics {
-    /// Nothing request yet, for these classes.
+    /// Metrics for these classes, all zero.
     pub fn new(classes: impl Iterator<Item = String>) -> Rc<Self> {
         let class = |name| {
             let (success, busy, failure) = Default::default();
@@ -111,43 +112,43 @@
         })
     }
 
-    /// A request has begun to come: of this class, if it names a known one. It ends as a failure unless
-    /// something else is said.
+    /// Starts to count a request of which the first bytes have arrived. `class` is none if it names no
+    /// known class. It counts as a failure unless another outcome is set.
     pub fn start_request(self: &Rc<Self>, class: Option<usize>) -> RequestMetrics {
         let unknown = self.classes.len() - 1;
         let class = class.unwrap_or(unknown).min(unknown);
         RequestMetrics { metrics: self.clone(), class, received: false, outcome: RequestOutcome::Failure }
     }
 
-    /// An attempt was written whole to an endpoint.
+    /// Records an attempt that was written completely to an endpoint.
     pub fn record_attempt(&self) {
-        raise(&self.backend_calls);
+        increment(&self.backend_calls);
     }
 
-    /// A new configuration was taken over, or could not be.
+    /// Records whether a new configuration was applied.
     pub fn record_reconfiguration(&self, ok: bool) {
-        raise(if ok { &self.reconfig_ok } else { &self.reconfig_failed });
+        increment(if ok { &self.reconfig_ok } else { &self.reconfig_failed });
     }
 
-    /// A snapshot was written to its file, or could not be.
+    /// Records whether a snapshot was written to its file.
     pub fn record_snapshot(&self, ok: bool) {
-        raise(if ok { &self.snapshot_ok } else { &self.snapshot_failed });
+        increment(if ok { &self.snapshot_ok } else { &self.snapshot_failed });
     }
 
-    /// So many keys are remembered; one was written to the journal, or could not be.
+    /// Records a write of a key to the journal, and the number of remembered keys.
     pub fn record_keys(&self, remembered: usize, ok: bool) {
         self.keys.set(remembered as u64);
         if !ok {
-            raise(&self.keys_failed);
+            increment(&self.keys_failed);
         }
     }
 
-    /// These stand beside from now on.
+    /// Replaces the metrics that other parts of the process supply.
     pub fn set_external(&self, metrics: Vec<ExternalMetric>) {
         *self.external.borrow_mut() = metrics;
     }
 
-    /// All metrics, one a line.
+    /// Reports all metrics, one per line.
     pub fn report(&self, hosts: EndpointSummary) -> String {
         let mut text = String::new();
         let mut line = |name: &str, class: &str, value: u64, kind: &str| {
@@ -182,14 +183,14 @@
 }
 
 impl RequestMetrics {
-    /// Its last byte has come.
+    /// Records that the last byte of the request has arrived.
     pub fn record_received(&mut self) {
         if !std::mem::replace(&mut self.received, true) {
-            raise(&self.metrics.in_flight);
+            increment(&self.metrics.in_flight);
         }
     }
 
-    /// How it will have ended.
+    /// Sets the outcome under which the request will be counted.
     pub fn set_outcome(&mut self, outcome: RequestOutcome) {
         self.outcome = outcome;
     }
@@ -198,7 +199,7 @@
 impl Drop for RequestMetrics {
     fn drop(&mut self) {
         let class = &self.metrics.classes[self.class];
-        raise(match self.outcome {
+        increment(match self.outcome {
             RequestOutcome::Success => &class.success,
             RequestOutcome::Busy => &class.busy,
             RequestOutcome::Failure => &class.failure,
@@ -214,13 +215,13 @@
     use super::*;
 
     #[test]
-    fn every_request_ends_in_exactly_one_count() {
+    fn every_request_is_counted_under_exactly_one_outcome() {
         let metrics = Metrics::new(["a", "b"].map(str::to_owned).into_iter());
         let ends = [
             (Some(0), Some(RequestOutcome::Success)),
             (Some(0), Some(RequestOutcome::Busy)),
             (Some(1), Some(RequestOutcome::Failure)),
-            (Some(1), None), // its client left: nothing more was said
+            (Some(1), None), // its client left: no outcome was set
             (None, Some(RequestOutcome::Failure)),
             (Some(9), Some(RequestOutcome::Failure)),
         ];
--- a/crates/runtime/src/guard.rs
+++ b/crates/runtime/src/guard.rs
@@ -1,12 +1,12 @@
-//! A task that is someone's own.
+//! Ties a task to its owner.
 
 use tokio::task::AbortHandle;
 
-/// A task that ends with its holder.
+/// Aborts its task when it is dropped.
 pub struct AbortOnDrop(AbortHandle);
 
 impl AbortOnDrop {
-    /// Ends this task when dropped.
+    /// Aborts this task when dropped.
     pub fn new(task: AbortHandle) -> Self {
         AbortOnDrop(task)
     }
--- a/crates/runtime/src/inbound/connection.rs
+++ b/crates/runtime/src/inbound/connection.rs
@@ -1,8 +1,8 @@
-//! One client's connection: where it stands, and when it is closed.
+//! One client connection: the stage that it is in, and when it is closed.
 
 use super::Inbound;
 use crate::budget::Permit;
-use crate::socket::{BUFFER_MOST, Heard, Socket};
+use crate::socket::{MAX_BUFFER, Socket, SocketMonitor};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
@@ -15,135 +15,151 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// A request's head must have come whole within this, counted from the connection's start or, later, from
-/// its first byte: a good client may take 2 s for it, and bad ones are owed an error or a close within 3 s.
-const HEAD_TIME: Duration = Duration::from_millis(2500);
-/// A client that reads nothing of its answer for so long is given up: good ones take seconds.
-const UNREAD_MOST: Duration = Duration::from_secs(20);
-/// A connection is closed once it has been between requests for this long.
-const IDLE_MOST: Duration = Duration::from_secs(20);
-/// How often a connection looks whether its time is up.
-const TICK: Duration = Duration::from_millis(500);
-/// While draining, a connection on which nothing has come yet is closed after this.
-const FRESH_WAIT: Duration = Duration::from_millis(200);
-/// A connection that ends by our will is read on for this long, so that its client comes to read the last answer
-/// and to see the end: longer than any way there and back, and over well before an operator's drain is due (4 s
-/// after the call, of which `DRAIN_IDLE` has gone) or SIGKILL.
-const LINGER: Duration = Duration::from_secs(1);
-/// And no further than this, in bytes: several times what a client has on its way before it looks at its answer.
-const LINGER_MOST: usize = 4 * BUFFER_MOST;
+/// A request's head must arrive completely within this, counted from the connection's start or, later, from
+/// its first byte: a well-behaved client may take 2 s for it, and others must get an error or a close
+/// within 3 s.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
+/// A client that reads nothing of its response for this long is given up; well-behaved ones take seconds.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(20);
+/// A connection is closed after being idle between requests for this long.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval at which a connection checks its timeouts.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// During a drain, a connection on which nothing has arrived yet is closed after this.
+const DRAIN_FIRST_REQUEST_WAIT: Duration = Duration::from_millis(200);
+/// A connection that we end is read on for this long, so that its client reads the last response and sees
+/// the end. It is longer than any round trip, and over well before an operator's drain must be complete
+/// (4 s after the call, of which `DRAIN_IDLE_DELAY` has passed) or a SIGKILL is due.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Limit of the bytes read while lingering: several times what a client has in flight before it looks at
+/// its response.
+const MAX_LINGER_BYTES: usize = 4 * MAX_BUFFER;
 
-/// Where a client's connection stands, in the order in which it passes from one to the next.
+/// The stages of a client connection, in the order in which it passes through them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Stage {
-    /// No request has come whole yet.
-    Fresh,
+    /// No request head has arrived completely yet.
+    New,
     /// A request is being served.
     Serving {
-        /// When it began to come.
-        began: Instant,
+        /// When its first byte arrived.
+        since: Instant,
     },
-    /// Its answer is on its way to the client.
-    Answering,
-    /// Between requests since then; the next one may have begun to come.
-    Between {
-        /// Since when.
+    /// Its response is being sent to the client.
+    Responding,
+    /// Between requests; the next one may have begun to arrive.
+    Idle {
+        /// When the last response ended.
         since: Instant,
     },
-    /// It is closed between requests: what is left of the last answer goes out, and nothing more is taken.
+    /// It is being closed between requests: the rest of the last response is sent, and no further request
+    /// is read.
     Closing,
-    /// It has ended by our will or the client's: nothing that still comes is a request.
+    /// Its end was decided by us or the client: bytes that still arrive are not taken as a request.
     Lingering,
 }
 
-/// How a connection came to its end. A request that is read after it could have no answer any more.
+/// How a connection ended. A request that is read after the end could get no response any more.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum End {
-    /// It never brought a whole request: nothing is on its way to its client.
+    /// No complete request arrived: no response is on its way to the client.
     Unused,
-    /// It rested, and may have been answered just before.
-    Resting,
-    /// Its client was told, or has ended it: whatever it still sends is read away, so that it comes to read that.
-    Answered,
+    /// It was idle, and may have sent a response just before.
+    Idle,
+    /// The client was sent a response with `Connection: close`, or ended the connection. Whatever it still
+    /// sends is read and dropped, so that it gets to read that response.
+    Notified,
 }
 
-/// What moves a connection on.
+/// The events that move a connection to another stage.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Step {
-    /// A request's head has come.
-    Taken,
-    /// Its answer is decided.
-    Decided,
-    /// Its answer has been given, or can't be.
-    Answered,
-    /// It is to close, with nothing of a request here.
-    Closes,
+pub(super) enum Event {
+    /// A request's head has arrived.
+    RequestReceived,
+    /// Its response is determined.
+    ResponseReady,
+    /// Its response has been sent, or can't be.
+    ResponseEnded,
+    /// It is to be closed, and holds no part of a request.
+    Close,
     /// The connection ends.
-    Ended,
+    ConnectionEnded,
 }
 
-/// A client's connection.
-pub(super) struct Turn {
-    pub(super) heard: Rc<Heard>,
+/// The state of a client connection.
+pub(super) struct ClientConnection {
+    pub(super) monitor: Rc<SocketMonitor>,
     accepted: Instant,
     stage: Cell<Stage>,
-    /// The next answer is the connection's last, and says so.
-    pub(super) last: Cell<bool>,
-    /// Something came behind the request before its answer was over: hyper holds it, and it begins nothing new.
-    ahead: Cell<bool>,
-    /// It was told to close to make room.
-    pub(super) closing: Cell<bool>,
-    /// Wakes the connection to close itself.
-    pub(super) close: Notify,
-    /// Wakes it where it only lingers and its place is wanted.
-    pub(super) room: Notify,
+    /// The next response is the connection's last, and says so by `Connection: close`.
+    pub(super) last_response: Cell<bool>,
+    /// More bytes arrived behind the request before its response was complete. hyper holds them in its
+    /// buffer, so the monitor does not see the next request begin.
+    pipelined: Cell<bool>,
+    /// It was selected to be closed, to make a place for another client.
+    pub(super) close_requested: Cell<bool>,
+    /// Wakes the connection's task to close it.
+    pub(super) close_signal: Notify,
+    /// Wakes the connection's task to end lingering, because its place is needed.
+    pub(super) evict_signal: Notify,
 }
 
-impl Turn {
-    fn new(heard: Rc<Heard>) -> Rc<Self> {
-        let (last, ahead, closing, close, room) = Default::default();
-        let (accepted, stage) = (Instant::now(), Cell::new(Stage::Fresh));
-        Rc::new(Turn { heard, accepted, stage, last, ahead, closing, close, room })
+impl ClientConnection {
+    fn new(monitor: Rc<SocketMonitor>) -> Rc<Self> {
+        let (last_response, pipelined, close_requested, close_signal, evict_signal) = Default::default();
+        let (accepted, stage) = (Instant::now(), Cell::new(Stage::New));
+        Rc::new(ClientConnection {
+            monitor,
+            accepted,
+            stage,
+            last_response,
+            pipelined,
+            close_requested,
+            close_signal,
+            evict_signal,
+        })
     }
 
-    /// The only way from one stage to the next. What ended never begins again.
-    pub(super) fn step(&self, step: Step) {
-        let next = match (self.stage.get(), step) {
-            (Stage::Lingering, _) | (_, Step::Ended) => Stage::Lingering,
-            (_, Step::Closes) | (Stage::Closing, Step::Answered) => Stage::Closing,
-            (_, Step::Taken) => Stage::Serving { began: self.request_start() },
-            (_, Step::Decided) => Stage::Answering,
-            (_, Step::Answered) => Stage::Between { since: Instant::now() },
+    /// Moves it to the next stage; there is no other way to do so. A connection that has ended stays so.
+    pub(super) fn apply(&self, event: Event) {
+        let next = match (self.stage.get(), event) {
+            (Stage::Lingering, _) | (_, Event::ConnectionEnded) => Stage::Lingering,
+            (_, Event::Close) | (Stage::Closing, Event::ResponseEnded) => Stage::Closing,
+            (_, Event::RequestReceived) => Stage::Serving { since: self.request_start() },
+            (_, Event::ResponseReady) => Stage::Responding,
+            (_, Event::ResponseEnded) => Stage::Idle { since: Instant::now() },
         };
         self.stage.set(next);
     }
 
-    /// Begins to close it where it is between requests: its last answer may still be going out. Elsewhere nothing is.
-    fn closes(&self) -> bool {
-        let between = matches!(self.stage.get(), Stage::Between { .. } | Stage::Closing);
-        if between {
-            self.step(Step::Closes);
+    /// Starts to close it if it is between requests; its last response may still be being sent. Returns
+    /// whether it was; at other stages nothing is being sent.
+    fn begin_close(&self) -> bool {
+        let is_between = matches!(self.stage.get(), Stage::Idle { .. } | Stage::Closing);
+        if is_between {
+            self.apply(Event::Close);
         }
-        between
+        is_between
     }
 
-    /// Its answer is over, or can't be given. What came meanwhile lies in hyper's buffer.
-    pub(super) fn answered(&self) {
-        self.ahead.set(self.heard.more());
-        self.step(Step::Answered);
-        self.heard.forget();
+    /// Records that its response is complete, or can't be sent. Bytes that arrived meanwhile are in hyper's
+    /// buffer.
+    pub(super) fn response_ended(&self) {
+        self.pipelined.set(self.monitor.has_more_input());
+        self.apply(Event::ResponseEnded);
+        self.monitor.reset();
     }
 
-    /// Whether the request that was just taken began to come before the answer ahead of it was over.
-    pub(super) fn came_ahead(&self) -> bool {
-        self.ahead.get()
+    /// Whether the current request began to arrive before the previous response was complete.
+    pub(super) fn is_pipelined(&self) -> bool {
+        self.pipelined.get()
     }
 
-    /// When the next request began to come, as far as that is known; none while nothing of it is here.
-    fn began(&self) -> Option<Instant> {
+    /// When the next request began to arrive, as far as that is known; none if nothing of it has.
+    fn next_request_start(&self) -> Option<Instant> {
         match self.stage.get() {
-            Stage::Between { since } if self.ahead.get() => Some(since),
-            _ => self.heard.began(),
+            Stage::Idle { since } if self.pipelined.get() => Some(since),
+            _ => self.monitor.first_byte_at(),
         }
     }
 
@@ -151,134 +167,144 @@
         self.stage.get()
     }
 
-    /// A request is being served or answered.
+    /// Whether a request is being served or its response sent.
     fn is_busy(&self) -> bool {
-        matches!(self.stage.get(), Stage::Serving { .. } | Stage::Answering)
+        matches!(self.stage.get(), Stage::Serving { .. } | Stage::Responding)
     }
 
-    /// How long it has been between requests, with nothing of the next one here; none before the first.
-    pub(super) fn idle(&self) -> Option<Duration> {
+    /// How long it has been between requests without a byte of the next one; none before the first request.
+    pub(super) fn idle_time(&self) -> Option<Duration> {
         match self.stage.get() {
-            Stage::Between { since } if self.began().is_none() => Some(since.elapsed()),
+            Stage::Idle { since } if self.next_request_start().is_none() => Some(since.elapsed()),
             _ => None,
         }
     }
 
-    /// How long a new one has said nothing.
-    pub(super) fn silent(&self) -> Option<Duration> {
-        let fresh = self.stage.get() == Stage::Fresh && self.heard.began().is_none();
-        fresh.then(|| self.accepted.elapsed())
+    /// How long it has been open without sending anything; none after its first byte.
+    pub(super) fn silent_time(&self) -> Option<Duration> {
+        let is_unused = self.stage.get() == Stage::New && self.monitor.first_byte_at().is_none();
+        is_unused.then(|| self.accepted.elapsed())
     }
 
-    /// How long it has been in the middle of a request's head.
-    pub(super) fn partial(&self) -> Option<Duration> {
-        let waits = matches!(self.stage.get(), Stage::Fresh | Stage::Between { .. });
-        self.began().filter(|_| waits).map(|at| at.elapsed())
+    /// How long the head of the next request has been incomplete.
+    pub(super) fn partial_head_time(&self) -> Option<Duration> {
+        let expects_request = matches!(self.stage.get(), Stage::New | Stage::Idle { .. });
+        self.next_request_start().filter(|_| expects_request).map(|at| at.elapsed())
     }
 
-    /// The process ends: a client must be able to tell that an answer still on its way is not whole, also where that has
-    /// no length.
-    pub(super) fn cut_off(&self) {
-        if matches!(self.stage.get(), Stage::Answering | Stage::Closing) {
-            self.heard.resets();
+    /// Called as the process exits: resets the connection if a response is still being sent. The client
+    /// must be able to tell that the response is incomplete, even if it has no length.
+    pub(super) fn reset_if_responding(&self) {
+        if matches!(self.stage.get(), Stage::Responding | Stage::Closing) {
+            self.monitor.reset_on_close();
         }
     }
 
-    /// When a request that has begun to come, or the first one, began.
+    /// When the current request began; the time of the accept if it is the first.
     pub(super) fn request_start(&self) -> Instant {
-        match (self.stage.get(), self.began()) {
-            (Stage::Serving { began }, _) | (Stage::Between { .. }, Some(began)) => began,
+        match (self.stage.get(), self.next_request_start()) {
+            (Stage::Serving { since }, _) | (Stage::Idle { .. }, Some(since)) => since,
             _ => self.accepted,
         }
     }
 
-    /// When it is closed unless something comes; none while a request is open.
-    pub(super) fn until(&self) -> Option<Instant> {
+    /// When it is closed unless more bytes arrive; none while a request is in progress.
+    pub(super) fn close_at(&self) -> Option<Instant> {
         match self.stage.get() {
-            Stage::Serving { .. } | Stage::Answering | Stage::Closing | Stage::Lingering => None,
-            Stage::Between { since } if self.began().is_none() => Some(since + IDLE_MOST),
-            Stage::Fresh | Stage::Between { .. } => Some(self.request_start() + HEAD_TIME),
+            Stage::Serving { .. } | Stage::Responding | Stage::Closing | Stage::Lingering => None,
+            Stage::Idle { since } if self.next_request_start().is_none() => Some(since + IDLE_TIMEOUT),
+            Stage::New | Stage::Idle { .. } => Some(self.request_start() + HEAD_TIMEOUT),
         }
     }
 }
 
 impl Inbound {
-    pub(super) async fn connection(self: Rc<Self>, stream: TcpStream, shed: bool, _permit: Option<Permit>) {
+    pub(super) async fn handle_connection(
+        self: Rc<Self>,
+        stream: TcpStream,
+        shed: bool,
+        _permit: Option<Permit>,
+    ) {
         let _ = stream.set_nodelay(true);
-        let (socket, heard) = Socket::new(stream);
-        let turn = Turn::new(heard);
-        let number = self.next.get();
-        self.next.set(number + 1);
-        self.connections.borrow_mut().insert(number, turn.clone());
-        let end = self.follow(socket, shed, &turn).await;
-        turn.step(Step::Ended);
-        turn.closing.set(false);
-        let lingers = async {
+        let (socket, monitor) = Socket::new(stream);
+        let client = ClientConnection::new(monitor);
+        let number = self.next_id.get();
+        self.next_id.set(number + 1);
+        self.connections.borrow_mut().insert(number, client.clone());
+        let end = self.serve_connection(socket, shed, &client).await;
+        client.apply(Event::ConnectionEnded);
+        client.close_requested.set(false);
+        let linger = async {
             match end {
                 End::Unused => {}
-                End::Resting => turn.heard.linger_unread().await,
-                End::Answered => turn.heard.linger(LINGER_MOST).await,
+                End::Idle => client.monitor.linger_unread().await,
+                End::Notified => client.monitor.linger(MAX_LINGER_BYTES).await,
             }
         };
-        // Whoever wants room may end this early; it holds its place in the budget until then.
+        // It holds its place in the budget until the lingering ends, which happens early if that place is
+        // needed.
         tokio::select! {
             biased;
-            () = lingers => {}
-            () = turn.room.notified() => {}
-            () = sleep(self.before_the_end(LINGER)) => {}
+            () = linger => {}
+            () = client.evict_signal.notified() => {}
+            () = sleep(self.limit_by_shutdown(LINGER_TIMEOUT)) => {}
         }
         self.connections.borrow_mut().remove(&number);
     }
 
-    /// How long something may take on a connection, less where the process is to end sooner.
-    fn before_the_end(&self, wanted: Duration) -> Duration {
+    /// Shortens a wait on a connection if the process is to exit sooner.
+    fn limit_by_shutdown(&self, wanted: Duration) -> Duration {
         self.lifecycle.shutdown().map_or(wanted, |end| end.limit(wanted, Instant::now()))
     }
 
-    /// Whether a connection that is to be closed can be: not where a request, or a part of one, came in the meantime
-    /// and lies unread. That one is served, as the connection's last.
-    fn is_over(&self, turn: &Turn) -> bool {
-        let unread = matches!(turn.stage(), Stage::Fresh | Stage::Between { .. })
-            && turn.began().is_none()
-            && turn.heard.pending();
-        if unread {
-            turn.last.set(true);
+    /// Whether a connection that is to be closed can be: not if a request, or a part of one, has arrived in
+    /// the meantime and is unread. That request is served, as the connection's last.
+    fn can_close(&self, client: &ClientConnection) -> bool {
+        let has_unread = matches!(client.stage(), Stage::New | Stage::Idle { .. })
+            && client.next_request_start().is_none()
+            && client.monitor.has_pending_input();
+        if has_unread {
+            client.last_response.set(true);
         }
-        !unread
+        !has_unread
     }
 
     /// Serves a connection until its end.
-    async fn follow(&self, socket: Socket, shed: bool, turn: &Rc<Turn>) -> End {
-        let service = service_fn(|request| self.answer(request, shed, turn));
+    async fn serve_connection(&self, socket: Socket, shed: bool, client: &Rc<ClientConnection>) -> End {
+        let service = service_fn(|request| self.handle_request(request, shed, client));
         let connection = http1::Builder::new()
             .keep_alive(!shed)
-            .max_buf_size(BUFFER_MOST)
+            .max_buf_size(MAX_BUFFER)
             .serve_connection(TokioIo::new(socket), service);
         let mut connection = pin!(connection);
-        let mut fresh_until = None;
+        let mut first_request_until = None;
         loop {
-            let until =
-                fresh_until.into_iter().chain(turn.until()).fold(Instant::now() + TICK, Instant::min);
+            let until = first_request_until
+                .into_iter()
+                .chain(client.close_at())
+                .fold(Instant::now() + CHECK_INTERVAL, Instant::min);
             tokio::select! {
                 biased;
                 ended = connection.as_mut() => {
-                    // Any other error is the client's leaving.
-                    let rested = ended.is_ok() && turn.stage() == Stage::Closing;
+                    // Any other error means that the client has disconnected.
+                    let was_closing = ended.is_ok() && client.stage() == Stage::Closing;
                     if ended.is_err_and(|e| e.is_parse()) {
                         drop(self.metrics.start_request(None));
                     }
-                    return if rested { End::Resting } else { End::Answered };
+                    return if was_closing { End::Idle } else { End::Notified };
                 }
-                () = turn.close.notified() => {
-                    let drains = self.lifecycle.draining_since().is_some();
-                    if turn.is_busy() || (drains && turn.partial().is_some()) {
-                        turn.last.set(true);
-                    } else if drains && turn.stage() == Stage::Fresh {
-                        // The first request is as good as taken: to close now would lose what the
-                        // client is just writing.
-                        fresh_until.get_or_insert_with(|| Instant::now() + self.before_the_end(FRESH_WAIT));
-                    } else if self.is_over(turn) {
-                        if turn.closes() {
+                () = client.close_signal.notified() => {
+                    let is_draining = self.lifecycle.draining_since().is_some();
+                    if client.is_busy() || (is_draining && client.partial_head_time().is_some()) {
+                        client.last_response.set(true);
+                    } else if is_draining && client.stage() == Stage::New {
+                        // The first request counts as received: closing now would lose what the client may
+                        // be writing just now.
+                        first_request_until.get_or_insert_with(|| {
+                            Instant::now() + self.limit_by_shutdown(DRAIN_FIRST_REQUEST_WAIT)
+                        });
+                    } else if self.can_close(client) {
+                        if client.begin_close() {
                             connection.as_mut().graceful_shutdown();
                         } else {
                             return End::Unused;
@@ -289,16 +315,18 @@
                 }
                 () = sleep_until(until) => {
                     let now = Instant::now();
-                    let writes = matches!(turn.stage(), Stage::Answering | Stage::Closing);
-                    if writes && turn.heard.unwritten() >= UNREAD_MOST {
-                        turn.heard.resets();
-                        return End::Answered;
+                    let is_writing = matches!(client.stage(), Stage::Responding | Stage::Closing);
+                    if is_writing && client.monitor.write_stall() >= WRITE_STALL_TIMEOUT {
+                        client.monitor.reset_on_close();
+                        return End::Notified;
                     }
-                    let unused = fresh_until.take_if(|at| *at <= now).is_some() && turn.heard.began().is_none();
-                    if turn.until().is_some_and(|at| at <= now || unused) {
-                        if !self.is_over(turn) {
-                            yield_now().await; // what has come is still to be read: the sockets are looked at
-                        } else if turn.closes() {
+                    let wait_expired = first_request_until.take_if(|at| *at <= now).is_some()
+                        && client.monitor.first_byte_at().is_none();
+                    if client.close_at().is_some_and(|at| at <= now || wait_expired) {
+                        if !self.can_close(client) {
+                            // Lets the runtime poll the sockets, so that the unread bytes are read.
+                            yield_now().await;
+                        } else if client.begin_close() {
                             connection.as_mut().graceful_shutdown();
                         } else {
                             return End::Unused;
--- a/crates/runtime/src/inbound/exchange.rs
+++ b/crates/runtime/src/inbound/exchange.rs
@@ -1,11 +1,13 @@
-//! One request and its answer on a client's connection.
+//! One request and its response on a client connection.
 
 use super::Inbound;
-use super::connection::{Step, Turn};
-use super::request::{Bad, bad, drop_hop_headers, plain, spoilt};
+use super::connection::{ClientConnection, Event};
+use super::request::{Rejection, bad_request, body_rejection, remove_hop_by_hop_headers, text_response};
 use crate::events::{Answer, Arrival, Client, Forward, Inbox, Input};
 use crate::figures::{RequestMetrics, RequestOutcome};
-use crate::streaming::{BODY_MOST, Came, RequestBody, ResponseBody, Spoilt, Upload, take_in};
+use crate::streaming::{
+    BodyError, MAX_BODY_BYTES, ReceivedBody, RequestBody, ResponseBody, StreamingUpload, receive_body,
+};
 use curlewhub_balance::RequestId;
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
 use hyper::header::{self, HeaderValue};
@@ -23,36 +25,37 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout_at};
 
-/// Kept back from a client's time, for the answer to reach it.
-const ANSWER_MARGIN: Duration = Duration::from_millis(10);
-/// A long body may take so long altogether: 32 MB at 64 kB a second take 500 s.
-const UPLOAD_MOST: Duration = Duration::from_secs(600);
-/// What a client is told that does not wait for its answer.
-const ANOTHER_AT_ONCE: Bad = (StatusCode::BAD_REQUEST, "more than one request at once");
-/// When a client that found no room is to come back, in seconds.
-const SHED_RETRY: &str = "0.5";
+/// Subtracted from the client's timeout, so that the response reaches it in time.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
+/// Maximum time for receiving a long body: 32 MB at 64 kB/s take 500 s.
+const MAX_UPLOAD_TIME: Duration = Duration::from_secs(600);
+/// Rejection of a client that sends a second request before the response to the first.
+const PIPELINED_REQUEST: Rejection = (StatusCode::BAD_REQUEST, "more than one request at once");
+/// `Retry-After` of a client that is refused for lack of connections or memory, in seconds.
+const REFUSED_RETRY_AFTER: &str = "0.5";
 
-/// A request's own id while it is open: a second one by the same id would be taken for it.
+/// The id of a request in progress, removed when dropped. A second request with the same id would be
+/// confused with it.
 struct OpenId<'a> {
-    open: &'a RefCell<HashSet<HeaderValue>>,
+    open_ids: &'a RefCell<HashSet<HeaderValue>>,
     id: HeaderValue,
 }
 
 impl Drop for OpenId<'_> {
     fn drop(&mut self) {
-        self.open.borrow_mut().remove(&self.id);
+        self.open_ids.borrow_mut().remove(&self.id);
     }
 }
 
-/// Tells the driver when a client leaves before its answer.
-struct Waiting<'a> {
+/// Tells the driver if the client disconnects before its response.
+struct ResponseWait<'a> {
     inbox: &'a Inbox,
     id: RequestId,
     client: Client,
     answered: bool,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for ResponseWait<'_> {
     fn drop(&mut self) {
         if !self.answered {
             self.client.leaves();
@@ -61,14 +64,14 @@
     }
 }
 
-/// An answer's body, the request's count, and its connection: that all end together.
-pub(super) struct Outgoing {
+/// A response body with the request's metrics and its connection, which all end together.
+pub(super) struct OutgoingResponse {
     body: ResponseBody,
-    counted: Option<RequestMetrics>,
-    turn: Rc<Turn>,
+    metrics: Option<RequestMetrics>,
+    connection: Rc<ClientConnection>,
 }
 
-impl Body for Outgoing {
+impl Body for OutgoingResponse {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -80,16 +83,16 @@
         match &mut this.body {
             ResponseBody::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
             ResponseBody::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            ResponseBody::Streaming(flow) => {
-                let piece = ready!(flow.poll(cx));
+            ResponseBody::Streaming(stream) => {
+                let piece = ready!(stream.poll(cx));
                 if matches!(piece, Some(Err(_))) {
-                    // Where an answer has no length, only a reset tells its client that it is not whole.
-                    this.turn.heard.resets();
+                    // Without a length, only a reset tells the client that the response is incomplete.
+                    this.connection.monitor.reset_on_close();
                 }
-                if flow.is_over()
-                    && let Some(counted) = &mut this.counted
+                if stream.is_complete()
+                    && let Some(metrics) = &mut this.metrics
                 {
-                    counted.set_outcome(RequestOutcome::Success);
+                    metrics.set_outcome(RequestOutcome::Success);
                 }
                 Poll::Ready(piece.map(|piece| piece.map(Frame::data)))
             }
@@ -99,72 +102,73 @@
     fn is_end_stream(&self) -> bool {
         match &self.body {
             ResponseBody::Buffered(bytes) => bytes.is_empty(),
-            ResponseBody::Streaming(flow) => flow.is_over(),
+            ResponseBody::Streaming(stream) => stream.is_complete(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.body {
             ResponseBody::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            ResponseBody::Streaming(flow) => flow.size_hint(),
+            ResponseBody::Streaming(stream) => stream.size_hint(),
         }
     }
 }
 
-impl Drop for Outgoing {
+impl Drop for OutgoingResponse {
     fn drop(&mut self) {
-        self.turn.answered();
+        self.connection.response_ended();
     }
 }
 
 type Reply = Response<ResponseBody>;
 
 impl Inbound {
-    pub(super) async fn answer(
+    pub(super) async fn handle_request(
         &self,
         request: Request<Incoming>,
         shed: bool,
-        turn: &Rc<Turn>,
-    ) -> Result<Response<Outgoing>, Infallible> {
-        turn.step(Step::Taken);
-        let mut counted = None;
-        // Who keeps a connection after the answer keeps it for 2 s at least: where those fill up, new
-        // clients would find no room, while hardly anybody is being answered.
+        connection: &Rc<ClientConnection>,
+    ) -> Result<Response<OutgoingResponse>, Infallible> {
+        connection.apply(Event::RequestReceived);
+        let mut metrics = None;
+        // A client may keep its connection for at least 2 s after the response. If idle connections filled
+        // the limit, new clients would be refused although few requests are being served.
         let mut last = shed || self.budget.is_crowded();
         let mut reply = if request.uri().path() == "/-/ready" && request.body().is_end_stream() {
-            // Who only asks this is no client yet: hundreds that then stayed would take the clients' room.
+            // A readiness check is no client: if hundreds of checkers kept their connections, they would
+            // take the places of clients.
             last = true;
             let ready = self.lifecycle.is_ready();
-            plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "")
+            text_response(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "")
         } else if shed {
-            counted = Some(self.metrics.start_request(self.class(request.uri())));
-            let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "too many connections");
-            reply.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from_static(SHED_RETRY));
+            metrics = Some(self.metrics.start_request(self.class(request.uri())));
+            let mut reply = text_response(StatusCode::SERVICE_UNAVAILABLE, "too many connections");
+            reply.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from_static(REFUSED_RETRY_AFTER));
             reply
         } else {
-            let counted = counted.insert(self.metrics.start_request(self.class(request.uri())));
-            match self.serve_request(request, turn, counted).await {
+            let metrics = metrics.insert(self.metrics.start_request(self.class(request.uri())));
+            match self.serve_request(request, connection, metrics).await {
                 Ok(reply) => reply,
                 Err((status, problem)) => {
-                    // Whatever else such a client has sent is not to be read.
+                    // Nothing more is read from a client that sent an invalid request.
                     last = true;
-                    let mut reply = plain(status, problem);
+                    let mut reply = text_response(status, problem);
                     if status == StatusCode::SERVICE_UNAVAILABLE {
                         reply
                             .headers_mut()
-                            .insert(header::RETRY_AFTER, HeaderValue::from_static(SHED_RETRY));
+                            .insert(header::RETRY_AFTER, HeaderValue::from_static(REFUSED_RETRY_AFTER));
                     }
                     reply
                 }
             }
         };
-        turn.step(Step::Decided);
-        if last || turn.last.get() || self.lifecycle.draining_since().is_some() {
+        connection.apply(Event::ResponseReady);
+        if last || connection.last_response.get() || self.lifecycle.draining_since().is_some() {
             reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
-        if let Some(counted) = &mut counted {
-            counted.set_outcome(match reply.status() {
-                // What flows has succeeded once it has come to its end.
+        if let Some(metrics) = &mut metrics {
+            metrics.set_outcome(match reply.status() {
+                // A streamed response succeeds once it has been sent to its end.
                 StatusCode::OK if matches!(reply.body(), ResponseBody::Buffered(_)) => {
                     RequestOutcome::Success
                 }
@@ -172,16 +176,19 @@
                 _ => RequestOutcome::Failure,
             });
         }
-        Ok(reply.map(|body| Outgoing { body, counted, turn: turn.clone() }))
+        Ok(reply.map(|body| OutgoingResponse { body, metrics, connection: connection.clone() }))
     }
 
-    /// Waits for something that comes to the client's connection, or is refused because the client
-    /// goes on sending: one request at a time is the rule, and what is behind it is no request of ours.
-    async fn undisturbed<F: Future>(turn: &Turn, future: F) -> Result<F::Output, Bad> {
+    /// Awaits a future, but rejects the request if more bytes arrive from the client meanwhile: a client
+    /// may send only one request at a time, and bytes behind it are not taken as a request.
+    async fn unless_pipelined<F: Future>(
+        connection: &ClientConnection,
+        future: F,
+    ) -> Result<F::Output, Rejection> {
         let mut future = pin!(future);
         poll_fn(|cx| {
-            if turn.heard.more() {
-                return Poll::Ready(Err(ANOTHER_AT_ONCE));
+            if connection.monitor.has_more_input() {
+                return Poll::Ready(Err(PIPELINED_REQUEST));
             }
             future.as_mut().poll(cx).map(Ok)
         })
@@ -191,111 +198,114 @@
     async fn serve_request(
         &self,
         request: Request<Incoming>,
-        turn: &Turn,
-        counted: &mut RequestMetrics,
-    ) -> Result<Reply, Bad> {
-        if turn.came_ahead() {
-            return Err(ANOTHER_AT_ONCE);
+        connection: &ClientConnection,
+        metrics: &mut RequestMetrics,
+    ) -> Result<Reply, Rejection> {
+        if connection.is_pipelined() {
+            return Err(PIPELINED_REQUEST);
         }
         let (mut head, body) = request.into_parts();
-        // hyper lets chunks win over a length beside them, and would take what was hidden in that body for
-        // the next request.
-        if turn.heard.framed_twice() {
-            return Err(bad("both Content-Length and Transfer-Encoding"));
+        // hyper prefers chunked encoding over a length, and would take bytes hidden in the body for the
+        // next request (request smuggling).
+        if connection.monitor.has_conflicting_framing() {
+            return Err(bad_request("both Content-Length and Transfer-Encoding"));
         }
-        // Of codings there is only this one.
+        // Only the chunked coding is supported.
         let mut codings = head.headers.get_all(header::TRANSFER_ENCODING).iter();
         if codings.any(|coding| !coding.as_bytes().eq_ignore_ascii_case(b"chunked")) {
             return Err((StatusCode::LENGTH_REQUIRED, "unknown Transfer-Encoding"));
         }
-        let (mut request, time) = self.read(&head.method, &head.uri, &head.headers)?;
-        if body.size_hint().lower() > BODY_MOST {
+        let (mut request, time) = self.parse_request(&head.method, &head.uri, &head.headers)?;
+        if body.size_hint().lower() > MAX_BODY_BYTES {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "body too long"));
         }
         if head.method == Method::GET && !body.is_end_stream() {
-            return Err(bad("a body where none goes"));
+            return Err(bad_request("a body where none goes"));
         }
-        let id = head.headers.get("x-request-id").cloned().ok_or(bad("X-Request-ID is missing"))?;
-        if !self.open.borrow_mut().insert(id.clone()) {
+        let id = head.headers.get("x-request-id").cloned().ok_or(bad_request("X-Request-ID is missing"))?;
+        if !self.open_ids.borrow_mut().insert(id.clone()) {
             return Err((StatusCode::CONFLICT, "a request of that id is open"));
         }
-        let _open = OpenId { open: &self.open, id };
-        let came = take_in(body, turn.request_start(), &self.budget).await.map_err(spoilt)?;
-        let (body, upload) = match came {
-            Came::Whole(kept) => (RequestBody::Buffered(kept), None),
-            Came::Long(upload) => (RequestBody::Streaming(upload.clone()), Some(upload)),
+        let _open = OpenId { open_ids: &self.open_ids, id };
+        let received =
+            receive_body(body, connection.request_start(), &self.budget).await.map_err(body_rejection)?;
+        let (body, upload) = match received {
+            ReceivedBody::Buffered(buffered) => (RequestBody::Buffered(buffered), None),
+            ReceivedBody::Streaming(upload) => (RequestBody::Streaming(upload.clone()), Some(upload)),
         };
         if upload.is_none() {
-            Self::undisturbed(turn, std::future::ready(())).await?;
-            counted.record_received();
+            Self::unless_pipelined(connection, std::future::ready(())).await?;
+            metrics.record_received();
         }
-        // The client counts from its last byte.
-        let came = Instant::now();
-        if self.lifecycle.shutdown().is_some_and(|end| end.is_failing(came)) {
+        // The client's timeout runs from its last byte.
+        let received_at = Instant::now();
+        if self.lifecycle.shutdown().is_some_and(|end| end.is_failing(received_at)) {
             return Err((StatusCode::SERVICE_UNAVAILABLE, "the process ends"));
         }
-        let id = RequestId(self.next.get());
-        self.next.set(id.0 + 1);
+        let id = RequestId(self.next_id.get());
+        self.next_id.set(id.0 + 1);
         request.id = id;
         request.body_incomplete = upload.is_some();
-        let key = head.headers.get("idempotency-key").filter(|_| self.grouped[request.class.0]);
+        let key = head.headers.get("idempotency-key").filter(|_| self.is_grouped[request.class.0]);
         let key = key.map(|key| curlewhub_keys::hash(&self.classes[request.class.0], key.as_bytes()));
-        drop_hop_headers(&mut head.headers);
+        remove_hop_by_hop_headers(&mut head.headers);
         let (answer, answered) = oneshot::channel();
-        // The client may have written the whole URI; endpoints know the path alone.
+        // The client may have sent an absolute URI; endpoints get only path and query.
         let target = head.uri.path_and_query().and_then(|target| target.as_str().parse().ok());
         let uri = target.unwrap_or(head.uri);
         let forward = Forward { method: head.method, uri, headers: head.headers, body };
-        let within = time - ANSWER_MARGIN.min(time / 10);
-        let deadline = came + if upload.is_some() { UPLOAD_MOST } else { within };
+        let within = time - RESPONSE_MARGIN.min(time / 10);
+        let deadline = received_at + if upload.is_some() { MAX_UPLOAD_TIME } else { within };
         let client = Client::default();
         let arrival =
             Arrival { request, key, deadline, time: within, forward, answer, client: client.clone() };
-        let mut waiting = Waiting { inbox: &self.inbox, id, client, answered: false };
+        let mut wait = ResponseWait { inbox: &self.inbox, id, client, answered: false };
         let _ = self.inbox.send(Input::Arrived(Box::new(arrival)));
         let answer = match upload {
-            // Where the module were to forget a request, its client would still be told in time.
-            None => Self::undisturbed(turn, timeout_at(came + time, answered)).await?,
+            // The timeout answers the client in time even if the balancer lost track of the request.
+            None => Self::unless_pipelined(connection, timeout_at(received_at + time, answered)).await?,
             Some(upload) => {
                 let mut answered = pin!(answered);
                 tokio::select! {
                     biased;
                     answer = answered.as_mut() => {
-                        // Ahead of the request's end: its client comes to read it once it has written all.
-                        turn.last.set(true);
+                        // The response precedes the end of the request: the client reads it once it has
+                        // written the whole body.
+                        connection.last_response.set(true);
                         spawn_local(async move { upload.discard().await });
                         Ok(answer)
                     }
-                    came = self.passed_on(&upload, id) => {
-                        came.map_err(spoilt)?;
-                        counted.record_received();
-                        let came = Instant::now();
-                        let _ = self.inbox.send(Input::BodyWhole(id, came + within));
-                        Self::undisturbed(turn, timeout_at(came + time, answered)).await?
+                    forwarded = self.forward_upload(&upload, id) => {
+                        forwarded.map_err(body_rejection)?;
+                        metrics.record_received();
+                        let received_at = Instant::now();
+                        let _ = self.inbox.send(Input::BodyWhole(id, received_at + within));
+                        Self::unless_pipelined(connection, timeout_at(received_at + time, answered)).await?
                     }
                 }
             }
         };
-        waiting.answered = answer.is_ok();
+        wait.answered = answer.is_ok();
         Ok(match answer {
             Ok(Ok(Answer::Served(body))) => Response::new(body),
             Ok(Ok(Answer::Refused(retry_after))) => {
-                let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
-                if let Some(wait) = retry_after
-                    && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", wait.as_secs_f64()))
+                let mut reply = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
+                if let Some(delay) = retry_after
+                    && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", delay.as_secs_f64()))
                 {
                     reply.headers_mut().insert(header::RETRY_AFTER, value);
                 }
                 reply
             }
-            Ok(Ok(Answer::Failed) | Err(_)) => plain(StatusCode::BAD_GATEWAY, "failed"),
-            Err(_) => plain(StatusCode::GATEWAY_TIMEOUT, "out of time"),
+            Ok(Ok(Answer::Failed) | Err(_)) => text_response(StatusCode::BAD_GATEWAY, "failed"),
+            Err(_) => text_response(StatusCode::GATEWAY_TIMEOUT, "out of time"),
         })
     }
 
-    /// Follows a long body to its end, on its way to whichever endpoint takes it.
-    async fn passed_on(&self, upload: &Upload, id: RequestId) -> Result<(), Spoilt> {
-        upload.flowing().await;
+    /// Waits until a long body has been forwarded completely. Tells the driver when it starts to be
+    /// streamed.
+    async fn forward_upload(&self, upload: &StreamingUpload, id: RequestId) -> Result<(), BodyError> {
+        upload.streaming_started().await;
         let _ = self.inbox.send(Input::BodyFlows(id));
         upload.end().await
     }
--- a/crates/runtime/src/inbound/mod.rs
+++ b/crates/runtime/src/inbound/mod.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: accepts them within the budget, and drains at the end.
+//! Client connections: accepts them within the socket budget, and drains them at shutdown.
 
 mod connection;
 mod exchange;
@@ -12,7 +12,7 @@
 use crate::lifecycle::{Lifecycle, State};
 use crate::outbound::Outbound;
 use crate::shutdown::{Phase, ShutdownDeadline};
-use connection::{Stage, Turn};
+use connection::{ClientConnection, Stage};
 use curlewhub_balance::Settings;
 use curlewhub_config::Names;
 use hyper::header::HeaderValue;
@@ -25,45 +25,48 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 use tracing::{info, warn};
 
-/// Wait after a failed accept: out of descriptors it would fail again at once, and spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// The backlog is empty once nothing has come out of it for this long.
-const BACKLOG_EMPTY: Duration = Duration::from_millis(30);
-/// Where room is wanted, connections are closed that have been between requests for this long ...
-const IDLE_LEAST: Duration = Duration::from_secs(2);
-/// ... or are this old and have brought no request: who has one sends it at once.
-const SILENT_LEAST: Duration = Duration::from_millis(50);
-/// Where nobody can be closed, that is looked at again after this.
-const ROOM_RECHECK: Duration = Duration::from_millis(10);
-/// Told by an operator to drain, idle connections are closed from this long after the call on: none may
-/// be idle 4 s after it, nor have brought a request in the 2 s before that. New ones come for 0.3 s.
-const DRAIN_IDLE: Duration = Duration::from_millis(1500);
-/// How often idle connections are looked for then.
-const DRAIN_CHECK: Duration = Duration::from_millis(100);
+/// Wait after a failed accept: without free descriptors a retry would fail at once and spin.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// The listen backlog counts as empty once no connection has been accepted for this long.
+const BACKLOG_EMPTY_AFTER: Duration = Duration::from_millis(30);
+/// If the client limit is reached, connections are closed that have been idle between requests for this
+/// long ...
+const MIN_IDLE_TIME: Duration = Duration::from_secs(2);
+/// ... or have sent no request within this time of being accepted: a client that has one sends it at once.
+const MIN_SILENT_TIME: Duration = Duration::from_millis(50);
+/// Interval between checks for a connection to close while there is none.
+const EVICTION_RETRY: Duration = Duration::from_millis(10);
+/// In an operator's drain, idle connections are closed from this long after the call on. 4 s after the call
+/// no connection may be idle, and none may have brought a request in the 2 s before that. New connections
+/// arrive for another 0.3 s.
+const DRAIN_IDLE_DELAY: Duration = Duration::from_millis(1500);
+/// Interval between the checks for idle connections during a drain.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What all clients' connections share.
+/// State that all client connections share.
 pub struct Inbound {
     settings: Settings,
-    /// By class, whether a repeat must keep to a group of endpoints.
-    grouped: Vec<bool>,
+    /// For each class, whether a repeated request must keep to one group of endpoints; only then is its
+    /// idempotency key used.
+    is_grouped: Vec<bool>,
     classes: Vec<String>,
     tenants: Vec<String>,
     budget: Rc<Budget>,
     outbound: Rc<Outbound>,
     inbox: Inbox,
-    next: Cell<u64>,
+    next_id: Cell<u64>,
     lifecycle: Rc<Lifecycle>,
     metrics: Rc<Metrics>,
-    /// Accepting fails; said once in the log until it works again.
-    failing: Cell<bool>,
-    /// The connections in the order of their coming.
-    connections: RefCell<BTreeMap<u64, Rc<Turn>>>,
-    /// The clients' own ids of the requests that are open.
-    open: RefCell<HashSet<HeaderValue>>,
+    /// Accept is failing; it is logged once until it succeeds again.
+    accept_failing: Cell<bool>,
+    /// Open connections, in the order in which they were accepted.
+    connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
+    /// Request ids, as chosen by the clients, of the requests in progress.
+    open_ids: RefCell<HashSet<HeaderValue>>,
 }
 
 impl Inbound {
-    /// No clients yet.
+    /// An instance without connections.
     pub fn new(
         settings: Settings,
         names: &Names,
@@ -74,30 +77,31 @@
         inbox: Inbox,
     ) -> Rc<Self> {
         let list = |names: &[curlewhub_config::Named]| names.iter().map(|n| n.name.clone()).collect();
-        let grouped =
+        let is_grouped =
             crate::idempotency_keys::repeat_windows(&settings).iter().map(Option::is_some).collect();
         Rc::new(Inbound {
             classes: list(&names.classes),
             tenants: list(&names.tenants),
-            grouped,
+            is_grouped,
             settings,
             budget,
             outbound,
             inbox,
-            next: Cell::new(0),
+            next_id: Cell::new(0),
             lifecycle,
             metrics,
-            failing: Cell::new(false),
+            accept_failing: Cell::new(false),
             connections: RefCell::default(),
-            open: RefCell::default(),
+            open_ids: RefCell::default(),
         })
     }
 
-    /// Serves until told to end, then drains: all that the kernel has accepted is answered.
+    /// Serves until shutdown, then drains: every connection that the kernel has accepted gets its response.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, handover: Rc<Handover>) {
-        spawn_local(self.clone().part_from_idle());
+        spawn_local(self.clone().close_idle_during_drain());
         tokio::select! {
-            // Until then the process before accepts, as long as it lives.
+            // Until the start is complete, the predecessor process accepts connections, as long as it
+            // lives.
             () = self.lifecycle.wait_for(|state| state != State::Starting) => {}
             () = handover.predecessor_exited() => {}
         }
@@ -110,142 +114,162 @@
         self.shut_down(listener, &handover, end).await;
     }
 
-    /// Answers what has been taken, and ends all connections before SIGKILL may come.
+    /// Completes the requests that were received, and ends all connections before a SIGKILL is due.
     async fn shut_down(self: &Rc<Self>, listener: TcpListener, handover: &Handover, end: ShutdownDeadline) {
         info!(clients = self.budget.clients(), "draining");
         let succeeded = handover.has_successor();
-        let drains = end.start_of(Phase::Draining, succeeded);
-        let fails = end.start_of(Phase::Failing, succeeded);
+        let drain_end = end.start_of(Phase::Draining, succeeded);
+        let failing_start = end.start_of(Phase::Failing, succeeded);
         if !succeeded {
-            while timeout_at(drains, self.accept(&listener)).await.is_ok() {}
-            // What still waits in the backlog counts as taken: closing the listener would reset it. A successor
-            // accepts from the same backlog.
-            while Instant::now() < fails && timeout(BACKLOG_EMPTY, self.accept(&listener)).await.is_ok() {}
+            while timeout_at(drain_end, self.accept(&listener)).await.is_ok() {}
+            // Connections in the backlog count as accepted: closing the listener would reset them. A
+            // successor accepts from the same backlog.
+            while Instant::now() < failing_start
+                && timeout(BACKLOG_EMPTY_AFTER, self.accept(&listener)).await.is_ok()
+            {}
         }
         drop(listener);
         handover.close_listener();
-        let _ = timeout_at(drains, self.all_gone()).await;
-        self.connections.borrow().values().for_each(|turn| turn.close.notify_one());
-        if timeout_at(fails, self.all_gone()).await.is_err() {
+        let _ = timeout_at(drain_end, self.all_closed()).await;
+        self.connections.borrow().values().for_each(|connection| connection.close_signal.notify_one());
+        if timeout_at(failing_start, self.all_closed()).await.is_err() {
             let _ = self.inbox.send(Input::GiveUp);
-            let _ = timeout_at(end.start_of(Phase::Exiting, succeeded), self.all_gone()).await;
+            let _ = timeout_at(end.start_of(Phase::Exiting, succeeded), self.all_closed()).await;
         }
-        self.connections.borrow().values().for_each(|turn| turn.cut_off());
+        self.connections.borrow().values().for_each(|connection| connection.reset_if_responding());
         info!(millis = end.requested_at().elapsed().as_millis() as u64, "drained");
     }
 
-    /// While an operator has the sidecar drained, closes connections between requests.
-    async fn part_from_idle(self: Rc<Self>) {
+    /// While an operator drains the sidecar, closes connections that are between requests.
+    async fn close_idle_during_drain(self: Rc<Self>) {
         loop {
             self.lifecycle.wait_for(|state| state == State::Draining).await;
-            if self.lifecycle.draining_since().is_some_and(|at| at.elapsed() >= DRAIN_IDLE) {
-                for turn in self.connections.borrow().values() {
-                    let between = turn.idle().is_some() || turn.silent().is_some();
-                    // What the kernel already holds of a request is answered first.
-                    if between && !turn.heard.pending() {
-                        turn.close.notify_one();
+            if self.lifecycle.draining_since().is_some_and(|at| at.elapsed() >= DRAIN_IDLE_DELAY) {
+                for connection in self.connections.borrow().values() {
+                    let is_between = connection.idle_time().is_some() || connection.silent_time().is_some();
+                    // A request of which the kernel already holds bytes is served first.
+                    if is_between && !connection.monitor.has_pending_input() {
+                        connection.close_signal.notify_one();
                     }
                 }
             }
-            sleep(DRAIN_CHECK).await;
+            sleep(DRAIN_CHECK_INTERVAL).await;
         }
     }
 
-    async fn all_gone(&self) {
+    async fn all_closed(&self) {
         while self.budget.clients() > 0 {
             self.budget.client_released().await;
         }
     }
 
-    /// Accepts one connection, once there is room for it.
+    /// Accepts one connection, once a permit or a place for a refusal is available.
     async fn accept(self: &Rc<Self>, listener: &TcpListener) {
-        let permit = self.room().await;
+        let permit = self.acquire_permit().await;
         match listener.accept().await {
             Ok((stream, _)) => {
-                self.failing.set(false);
+                self.accept_failing.set(false);
                 let permit = permit.or_else(|| self.budget.try_acquire(Holder::Client));
                 let shed = permit.is_none();
                 let permit = permit.or_else(|| self.budget.try_acquire(Holder::Shed));
                 let this = self.clone();
-                spawn_local(async move { this.connection(stream, shed, permit).await });
+                spawn_local(async move { this.handle_connection(stream, shed, permit).await });
             }
             Err(e) => {
-                if !self.failing.replace(true) {
+                if !self.accept_failing.replace(true) {
                     warn!(error = %e, "accept");
                 }
-                // A client that has gone before it was accepted, or a network that is down, is no lack of ours.
+                // Not every failure is a lack of resources here: the client may have disconnected before it
+                // was accepted, or the network may be down.
                 if lacks_resources(&e) {
                     self.outbound.close_oldest_idle();
                 }
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 
-    /// A permit for one more client; none where it can only be told that there is no room.
-    async fn room(&self) -> Option<Permit> {
+    /// Returns a permit for one more client; none if the client can only be refused because the limit is
+    /// reached.
+    async fn acquire_permit(&self) -> Option<Permit> {
         loop {
             while self.budget.is_full_of_endpoints() && self.outbound.close_oldest_idle() {}
             if let Some(permit) = self.budget.try_acquire(Holder::Client) {
                 return Some(permit);
             }
-            // Who lingers has had its answer, the oldest for the longest.
+            // A lingering connection has already sent its last response; the oldest one did so first.
             if !self.end_lingering()
-                && !self.make_room()
+                && !self.evict_connection()
                 && let Some(permit) = self.budget.try_acquire(Holder::Shed)
             {
                 drop(permit);
                 return None;
             }
-            let _ = timeout(ROOM_RECHECK, self.budget.client_released()).await;
+            let _ = timeout(EVICTION_RETRY, self.budget.client_released()).await;
         }
     }
 
-    /// Ends the oldest connection that only lingers; whether there is one.
+    /// Ends the oldest lingering connection. Returns whether there is one.
     fn end_lingering(&self) -> bool {
         let connections = self.connections.borrow();
-        let lingers = |turn: &&Rc<Turn>| turn.stage() == Stage::Lingering && !turn.closing.get();
-        let oldest = connections.values().find(lingers);
-        oldest.inspect(|turn| {
-            turn.closing.set(true);
-            turn.room.notify_one();
+        let is_lingering = |connection: &&Rc<ClientConnection>| {
+            connection.stage() == Stage::Lingering && !connection.close_requested.get()
+        };
+        let oldest = connections.values().find(is_lingering);
+        oldest.inspect(|connection| {
+            connection.close_requested.set(true);
+            connection.evict_signal.notify_one();
         });
         oldest.is_some()
     }
 
-    /// Closes the connection that is missed least: who has been silent longest, else who has been idle longest, else
-    /// who has been in the middle of a request's head for longest. Where there is none, somebody's next answer will be the connection's last. Whether one
-    /// goes, or will as soon as its silence has lasted.
-    fn make_room(&self) -> bool {
+    /// Closes the connection whose loss matters least: the one that has been open longest without sending
+    /// anything, else the one that has been idle longest, else the one that has been in the middle of a
+    /// request's head for longest. If there is none, the next response of one connection is marked as its
+    /// last. Returns whether a connection is closed, or will be once it has sent nothing for
+    /// `MIN_SILENT_TIME`.
+    fn evict_connection(&self) -> bool {
         let connections = self.connections.borrow();
-        let ends = |turn: &Rc<Turn>| matches!(turn.stage(), Stage::Closing | Stage::Lingering);
-        let open = || connections.values().filter(move |turn| !turn.closing.get() && !ends(turn));
-        let silent = open().find(|turn| turn.silent().is_some());
-        if silent.is_some_and(|turn| turn.silent().is_some_and(|time| time < SILENT_LEAST)) {
+        let is_ending = |connection: &Rc<ClientConnection>| {
+            matches!(connection.stage(), Stage::Closing | Stage::Lingering)
+        };
+        let open = || {
+            connections
+                .values()
+                .filter(move |connection| !connection.close_requested.get() && !is_ending(connection))
+        };
+        let silent = open().find(|connection| connection.silent_time().is_some());
+        if silent
+            .is_some_and(|connection| connection.silent_time().is_some_and(|time| time < MIN_SILENT_TIME))
+        {
             return true;
         }
         let idle = || {
-            let idle = open().filter_map(|turn| Some((turn.idle()?, turn)));
-            idle.filter(|(time, _)| *time >= IDLE_LEAST).max_by_key(|(time, _)| *time).map(|(_, turn)| turn)
+            let idle = open().filter_map(|connection| Some((connection.idle_time()?, connection)));
+            idle.filter(|(time, _)| *time >= MIN_IDLE_TIME)
+                .max_by_key(|(time, _)| *time)
+                .map(|(_, connection)| connection)
         };
         let partial = || {
-            let partial = open().filter_map(|turn| Some((turn.partial()?, turn)));
+            let partial =
+                open().filter_map(|connection| Some((connection.partial_head_time()?, connection)));
             partial
-                .filter(|(time, _)| *time >= SILENT_LEAST)
+                .filter(|(time, _)| *time >= MIN_SILENT_TIME)
                 .max_by_key(|(time, _)| *time)
-                .map(|(_, turn)| turn)
+                .map(|(_, connection)| connection)
         };
         match silent.or_else(idle).or_else(partial) {
-            Some(turn) => {
-                turn.closing.set(true);
-                turn.close.notify_one();
+            Some(connection) => {
+                connection.close_requested.set(true);
+                connection.close_signal.notify_one();
                 true
             }
             None => {
-                // One just used is likely to be used again at once, and a request that crosses our
-                // closing is lost, or sent twice: the next answer says that it is the last.
-                if let Some(turn) = open().find(|turn| !turn.last.get()) {
-                    turn.last.set(true);
+                // A connection that was just used is likely to be used again at once, and a request that
+                // crosses our close is lost, or sent twice. So it is not closed; its next response says
+                // `Connection: close`.
+                if let Some(connection) = open().find(|connection| !connection.last_response.get()) {
+                    connection.last_response.set(true);
                 }
                 false
             }
--- a/crates/runtime/src/load_report.rs
+++ b/crates/runtime/src/load_report.rs
@@ -1,9 +1,9 @@
-//! Reads the load reports of endpoints, which come as `name=value` pairs in a header or as a body.
+//! Parses the load reports of endpoints, which consist of `name=value` pairs in a header or a body.
 
 use curlewhub_balance::LoadField;
 use hyper::HeaderMap;
 
-/// The header that a report comes in beside an answer.
+/// The response header that carries a report.
 const HEADER: &str = "x-server-load";
 
 /// Reads the fields that the settings name.
@@ -13,17 +13,17 @@
 }
 
 impl LoadReportReader {
-    /// A reader of these fields; of none where the deployment has no reports.
+    /// A reader of these fields; none if the deployment has no reports.
     pub fn new(fields: Vec<LoadField>) -> Self {
         LoadReportReader { fields }
     }
 
-    /// The report beside an answer, if there is a complete one.
+    /// The report in the headers of a response, if there is a complete one.
     pub fn in_headers(&self, headers: &HeaderMap) -> Option<Vec<f64>> {
         self.read(headers.get(HEADER)?.to_str().ok()?)
     }
 
-    /// The values of the settings' fields, in their order; none unless all are there.
+    /// The values of the configured fields, in their order; none unless all are present.
     pub fn read(&self, text: &str) -> Option<Vec<f64>> {
         let value = |field: &LoadField| {
             let pairs = text.trim().split(',').filter_map(|pair| pair.split_once('='));
@@ -37,7 +37,7 @@
     }
 }
 
-/// A load report's field as endpoints name it.
+/// The name of a field on the wire.
 fn wire_name(field: LoadField) -> &'static str {
     match field {
         LoadField::Outstanding => "inflight",
--- a/crates/runtime/src/outbound.rs
+++ b/crates/runtime/src/outbound.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: attempts and probes, and how they end.
+//! Pooled connections to endpoints, and the attempts and probes that are made over them.
 
 use super::aged_connections::{AGED, AgedConnections};
 use super::attempt_terms::{AttemptProgress, WriteConditions};
@@ -9,9 +9,12 @@
 use super::guard::AbortOnDrop;
 use super::load_report::LoadReportReader;
 use super::slots::{Slot, Slots};
-use super::socket::{BUFFER_MOST, Heard, Socket};
-use super::spares::{REST, Spares};
-use super::streaming::{BODY_MOST, FLOW_KIB, Flow, RequestBody, ResponseBody, Sending, WHOLE_MOST};
+use super::socket::{MAX_BUFFER, Socket, SocketMonitor};
+use super::spares::{REUSE_DELAY, SpareConnections};
+use super::streaming::{
+    MAX_BODY_BYTES, MAX_BUFFERED_RESPONSE, OutgoingBody, RequestBody, ResponseBody, STREAM_MEMORY_KIB,
+    StreamingResponse,
+};
 use super::time_left::MAX_WRITE_DELAY;
 use super::write_gate::WriteGate;
 use curlewhub_balance::{EndpointId, Outcome, Settings};
@@ -33,78 +36,79 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use tracing::debug;
 
-/// Part of the endpoints' idle time after which we close a connection ourselves: what is written to
-/// one that the endpoint is just closing ends as a reset, and an unsafe request is then lost for good.
-const IDLE_PART: f64 = 0.7;
-/// Idle connections kept where the settings say nothing of idle time.
-const IDLE_UNSTATED: Duration = Duration::from_secs(5);
-/// How often idle connections are looked over.
-const SWEEP: Duration = Duration::from_millis(500);
+/// We close an idle connection ourselves after this fraction of the endpoints' idle timeout: a request
+/// written to one that the endpoint is just closing ends in a reset, and an unsafe request is then lost for
+/// good.
+const IDLE_TIMEOUT_FACTOR: f64 = 0.7;
+/// Idle time of connections if the settings state none.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval of the checks for idle connections to close.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 /// A probe that takes longer has failed.
-const PROBE: Duration = Duration::from_secs(1);
-/// An answer that has begun must not pause for longer until it is whole or flows on: with a length that
-/// doesn't fit it would never end, and cost a request all its time that could be sent again.
-const ANSWER_PAUSE: Duration = Duration::from_millis(700);
-/// Its head must be whole within this, however steadily it comes.
-const HEAD_TIME: Duration = Duration::from_secs(2);
-/// An answer of which the length says that it is long flows on after this at the latest; until then it may
-/// still prove spoilt, and be had again.
-const LONG_HOLD: Duration = Duration::from_millis(200);
-/// Limit of an attempt's connection where the settings say nothing.
-const CONNECT_UNSTATED: Duration = Duration::from_millis(500);
-
-struct Link {
-    sender: SendRequest<Sending>,
-    heard: Rc<Heard>,
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest pause of a response that has begun, until it is complete or is streamed. A response shorter than
+/// its stated length would never end, and use up all the time of a request that could be sent again.
+const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(700);
+/// A response's head must be complete within this of its first byte, however steadily it arrives.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
+/// A response that states a long length is streamed after this at the latest; until then it may still turn
+/// out to be invalid, and the request be sent again.
+const STREAM_AFTER: Duration = Duration::from_millis(200);
+/// Connect timeout if the settings state none.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+
+struct Connection {
+    sender: SendRequest<OutgoingBody>,
+    monitor: Rc<SocketMonitor>,
     address: SocketAddr,
     idle_since: Instant,
-    /// It is not used again before this.
-    rests_until: Instant,
-    /// Dropping a link closes its connection, also with an answer still to come.
-    _connection: AbortOnDrop,
+    /// It must not be reused before this.
+    reusable_at: Instant,
+    /// Aborts the task of the connection, which closes it, even if a response is still due.
+    _task: AbortOnDrop,
     _slot: Slot,
     _permit: Permit,
 }
 
-/// A connection that somebody waits for. Where that one is gone before it has rested, nothing was written to it, and
-/// it is kept for who comes next.
-struct Resting<'a> {
+/// A pooled connection that a request waits for until its reuse delay has passed. If the request is
+/// abandoned before that, nothing has been written, and the connection goes back to the pool.
+struct PendingReuse<'a> {
     outbound: &'a Outbound,
     endpoint: EndpointId,
-    link: Option<Link>,
+    connection: Option<Connection>,
 }
 
-impl Resting<'_> {
-    async fn rested(mut self) -> Option<Link> {
-        sleep_until(self.link.as_ref()?.rests_until).await;
-        self.link.take()
+impl PendingReuse<'_> {
+    async fn reusable(mut self) -> Option<Connection> {
+        sleep_until(self.connection.as_ref()?.reusable_at).await;
+        self.connection.take()
     }
 }
 
-impl Drop for Resting<'_> {
+impl Drop for PendingReuse<'_> {
     fn drop(&mut self) {
-        // One that was left meanwhile, or has moved, is not kept.
-        if let Some(link) = self.link.take()
-            && self.outbound.gate.admits(self.endpoint, link.address)
+        // The connection is closed if the endpoint has been removed or has another address by now.
+        if let Some(connection) = self.connection.take()
+            && self.outbound.gate.admits(self.endpoint, connection.address)
         {
-            self.outbound.keep(self.endpoint, link);
+            self.outbound.add_idle(self.endpoint, connection);
         }
     }
 }
 
 /// Why there is no new connection.
-enum NoLink {
-    /// Another one came up, failed or came free meanwhile: an idle one may be there now.
-    LookAgain,
-    /// None is to be had.
-    Ends(Outcome),
+enum AcquireError {
+    /// Another connection was opened, failed or became idle meanwhile: look in the pool again.
+    RetryPool,
+    /// No connection is available; the attempt ends with this outcome.
+    Failed(Outcome),
 }
 
-/// What an answer has come to.
-enum Read {
-    Whole(Outcome, Bytes),
-    /// A long one has begun.
-    Long(Vec<Bytes>, Incoming),
+/// What has been read of a response.
+enum ReadResponse {
+    Complete(Outcome, Bytes),
+    /// The beginning of a long one, and the rest.
+    Streaming(Vec<Bytes>, Incoming),
 }
 
 /// The connections to all endpoints.
@@ -113,21 +117,21 @@
     slots: Rc<Slots>,
     metrics: Rc<Metrics>,
     gate: WriteGate,
-    /// Idle ones, the most recently used last.
-    idle: RefCell<HashMap<EndpointId, Vec<Link>>>,
-    /// What waits for resting connections have added up to.
-    spares: RefCell<Spares>,
-    /// Endpoints that this machine had no way to.
+    /// Idle connections, the most recently used last.
+    idle: RefCell<HashMap<EndpointId, Vec<Connection>>>,
+    /// The time that requests have waited for connections in their reuse delay.
+    spares: RefCell<SpareConnections>,
+    /// Endpoints to which this machine had no route.
     routes: RefCell<RouteFaults>,
     since: Instant,
     connect_timeout: Duration,
-    idle_most: Duration,
+    idle_timeout: Duration,
     aged: AgedConnections,
     load_reports: LoadReportReader,
 }
 
 impl Outbound {
-    /// No connections yet.
+    /// An instance without connections.
     pub fn new(
         settings: &Settings,
         budget: Rc<Budget>,
@@ -135,8 +139,8 @@
         metrics: Rc<Metrics>,
     ) -> Rc<Self> {
         let (connect, idle) = (settings.limits.connect_timeout, settings.limits.idle_close);
-        let or = |time: Duration, unstated| if time.is_zero() { unstated } else { time };
-        let idle_most = slots.idle_timeout(or(idle.mul_f64(IDLE_PART), IDLE_UNSTATED));
+        let or = |time: Duration, default| if time.is_zero() { default } else { time };
+        let idle_timeout = slots.idle_timeout(or(idle.mul_f64(IDLE_TIMEOUT_FACTOR), DEFAULT_IDLE_TIMEOUT));
         Rc::new(Outbound {
             budget,
             slots,
@@ -147,14 +151,14 @@
             routes: RefCell::default(),
             since: Instant::now(),
             aged: AgedConnections::default(),
-            connect_timeout: or(connect, CONNECT_UNSTATED),
-            idle_most,
+            connect_timeout: or(connect, DEFAULT_CONNECT_TIMEOUT),
+            idle_timeout,
             load_reports: LoadReportReader::new(settings.load_reports.fields.clone()),
         })
     }
 
-    /// Sends one attempt and waits for its end. It is written at most once: only what provably was
-    /// never written goes to another connection.
+    /// Makes one attempt and waits for its end. The request is written at most once: only if it was
+    /// provably never written, it is tried on another connection.
     pub async fn attempt(
         self: &Rc<Self>,
         endpoint: EndpointId,
@@ -162,34 +166,36 @@
         mut request: Request<RequestBody>,
         progress: &AttemptProgress,
     ) -> Ended {
-        // What comes ahead of an answer says nothing of when that will come.
-        let ahead = Arc::new(AtomicBool::new(false));
-        let seen = ahead.clone();
+        // An informational (1xx) response does not tell when the final one will arrive.
+        let informational = Arc::new(AtomicBool::new(false));
+        let seen = informational.clone();
         hyper::ext::on_informational(&mut request, move |_| seen.store(true, Ordering::Relaxed));
         loop {
-            let linked = tokio::select! {
+            let acquired = tokio::select! {
                 biased;
-                () = self.withdrawn(endpoint, address, progress) => Err(NoLink::Ends(Outcome::NotSent)),
-                linked = self.link(endpoint, address) => linked,
+                () = self.write_forbidden(endpoint, address, progress) => {
+                    Err(AcquireError::Failed(Outcome::NotSent))
+                }
+                acquired = self.acquire(endpoint, address) => acquired,
             };
-            let (mut link, fresh) = match linked {
-                Ok(linked) => linked,
-                Err(NoLink::LookAgain) => continue,
-                Err(NoLink::Ends(outcome)) => return Ended::bare(outcome),
+            let (mut connection, is_new) = match acquired {
+                Ok(acquired) => acquired,
+                Err(AcquireError::RetryPool) => continue,
+                Err(AcquireError::Failed(outcome)) => return Ended::bare(outcome),
             };
-            // An idle connection may be found closed only now.
-            if !matches!(timeout(self.connect_timeout, link.sender.ready()).await, Ok(Ok(()))) {
-                if fresh {
+            // An idle connection may turn out to be closed only now.
+            if !matches!(timeout(self.connect_timeout, connection.sender.ready()).await, Ok(Ok(()))) {
+                if is_new {
                     return Ended::bare(Outcome::ConnectFailed);
                 }
                 continue;
             }
-            if request.body().is_spent() {
-                return Ended::bare(Outcome::ConnectFailed); // the rest alone is of no use
+            if request.body().is_beginning_lost() {
+                return Ended::bare(Outcome::ConnectFailed); // its beginning can't be sent again
             }
-            let (heard, whole) = (link.heard.clone(), progress.fully_sent.clone());
-            whole.set(false);
-            // Read only now: a wait for the connection has taken its part of the client's time.
+            let (monitor, fully_sent) = (connection.monitor.clone(), progress.fully_sent.clone());
+            fully_sent.set(false);
+            // Read only now, because the wait for the connection has used up a part of the client's time.
             let read_at = Instant::now();
             if let Some(conditions) = &progress.conditions {
                 let left = conditions.time_left.at(read_at);
@@ -199,13 +205,15 @@
                 tell_time_left(request.headers_mut(), left);
             }
             let metrics = progress.conditions.as_ref().map(|_| self.metrics.clone());
-            let request = request.clone().map(|payload| Sending::new(&payload, whole, heard, metrics));
-            let idle = link.idle_since.elapsed();
-            link.heard.forget();
-            // The last look is right before the first byte: whatever was waited for until then, a drain may have
-            // been told, a client gone, a window for repeats passed, or the time that is told been held up.
+            let request =
+                request.clone().map(|body| OutgoingBody::new(&body, fully_sent, monitor, metrics));
+            let idle = connection.idle_since.elapsed();
+            connection.monitor.reset();
+            // Checked immediately before the first byte is written: during any wait until then the endpoint
+            // may have been drained, the client may have disconnected, the window for repeats may have
+            // passed, or the remaining time in the header may have become outdated.
             let (this, conditions) = (self.clone(), progress.conditions.clone());
-            link.heard.begins(Box::new(move || {
+            connection.monitor.set_write_check(Box::new(move || {
                 let holds =
                     |conditions: &WriteConditions| conditions.hold() && read_at.elapsed() < MAX_WRITE_DELAY;
                 match &conditions {
@@ -213,13 +221,13 @@
                     None => this.gate.admits(endpoint, address),
                 }
             }));
-            let headed = Cell::new(false);
+            let has_head = Cell::new(false);
             let exchange = async {
-                match link.sender.try_send_request(request).await {
+                match connection.sender.try_send_request(request).await {
                     Ok(response) => {
-                        headed.set(true);
+                        has_head.set(true);
                         let report = self.load_reports.in_headers(response.headers());
-                        (self.read(response).await, report)
+                        (self.read_response(response).await, report)
                     }
                     Err(error) => {
                         if error.message().is_some() {
@@ -232,93 +240,105 @@
             let (read, report) = tokio::select! {
                 biased;
                 read = exchange => read,
-                () = stalled(&link.heard, &ahead, &headed) => (None, None),
+                () = stalled(&connection.monitor, &informational, &has_head) => (None, None),
             };
-            // What breaks on the way, or at this machine, says nothing of age.
-            if !fresh && idle >= AGED && !link.heard.broke_elsewhere() {
-                self.aged.record(read.is_none() && link.heard.began().is_none());
+            // A failure of the network or of this machine does not depend on the connection's age.
+            if !is_new && idle >= AGED && !connection.monitor.failed_not_by_peer() {
+                self.aged.record(read.is_none() && connection.monitor.first_byte_at().is_none());
             }
-            if link.heard.withheld() {
+            if connection.monitor.write_rejected() {
                 progress.fully_sent.set(false);
                 return Ended::bare(Outcome::NotSent);
             }
-            match (read, progress.fully_sent.get(), fresh) {
-                (Some(Read::Whole(outcome, body)), whole, _) => {
-                    if whole && !link.sender.is_closed() {
-                        self.park(endpoint, link);
+            match (read, progress.fully_sent.get(), is_new) {
+                (Some(ReadResponse::Complete(outcome, body)), fully_sent, _) => {
+                    if fully_sent && !connection.sender.is_closed() {
+                        self.release(endpoint, connection);
                     }
                     return Ended { outcome, body: ResponseBody::Buffered(body), report };
                 }
-                (Some(Read::Long(first, rest)), whole, _) => {
-                    let memory = self.budget.stream_memory(FLOW_KIB).await;
+                (Some(ReadResponse::Streaming(first, rest)), fully_sent, _) => {
+                    let memory = self.budget.stream_memory(STREAM_MEMORY_KIB).await;
                     let this = self.clone();
-                    // Others may use the connection after the answer, unless its request was cut short.
-                    let parking = Box::new(move || {
-                        if whole && !link.sender.is_closed() {
-                            this.park(endpoint, link);
+                    // Others may reuse the connection after the response, unless the request was cut short.
+                    let on_complete = Box::new(move || {
+                        if fully_sent && !connection.sender.is_closed() {
+                            this.release(endpoint, connection);
                         }
                     });
-                    let body = ResponseBody::Streaming(Box::new(Flow::new(first, rest, parking, memory)));
+                    let body = ResponseBody::Streaming(Box::new(StreamingResponse::new(
+                        first,
+                        rest,
+                        on_complete,
+                        memory,
+                    )));
                     return Ended { outcome: Outcome::Ok, body, report };
                 }
                 (None, true, _) => return Ended::bare(Outcome::Reset),
-                (None, false, true) if link.heard.broke_locally() => {
+                (None, false, true) if connection.monitor.failed_locally() => {
                     return Ended::bare(Outcome::LocalFault);
                 }
                 (None, false, true) => return Ended::bare(Outcome::ConnectFailed),
-                (None, false, false) => {} // a kept connection says nothing of its endpoint: another one
+                // A stale pooled connection says nothing about its endpoint: retry on another one.
+                (None, false, false) => {}
             }
         }
     }
 
-    /// What an answer comes to; none where it is spoilt. It is kept until it is whole, so that a break is an
-    /// outcome and never a torn answer, and one that is spoilt proves nothing, not even that it never ran.
-    /// Only one that is served and long flows on.
-    async fn read(&self, response: Response<Incoming>) -> Option<Read> {
+    /// Reads a response; none if it is invalid. It is buffered until it is complete, so that a break
+    /// becomes an outcome and never a truncated response. An invalid response proves nothing, not even that
+    /// the request was not processed. Only a successful long one is streamed.
+    async fn read_response(&self, response: Response<Incoming>) -> Option<ReadResponse> {
         let (head, mut body) = response.into_parts();
-        let never_ran = head.headers.get("x-not-processed").is_some_and(|v| v.as_bytes() == b"1");
+        let not_processed = head.headers.get("x-not-processed").is_some_and(|v| v.as_bytes() == b"1");
         let outcome = match head.status {
             StatusCode::OK => Outcome::Ok,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Outcome::Rejected,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_processed => {
+                Outcome::Rejected
+            }
             _ => Outcome::Error,
         };
-        let least = body.size_hint().lower();
-        if least > BODY_MOST {
+        let min_length = body.size_hint().lower();
+        if min_length > MAX_BODY_BYTES {
             return None;
         }
-        let long = least > WHOLE_MOST as u64;
-        let mut kept = Vec::new();
-        let mut hold = pin!(sleep(LONG_HOLD));
+        let is_long = min_length > MAX_BUFFERED_RESPONSE as u64;
+        let mut buffered = Vec::new();
+        let mut stream_timer = pin!(sleep(STREAM_AFTER));
         loop {
             let frame = tokio::select! {
                 biased;
                 frame = body.frame() => frame,
-                () = hold.as_mut(), if long && outcome == Outcome::Ok && !kept.is_empty() => {
-                    return Some(Read::Long(vec![Bytes::from(kept)], body));
+                () = stream_timer.as_mut(), if is_long && outcome == Outcome::Ok && !buffered.is_empty() =>
+                {
+                    return Some(ReadResponse::Streaming(vec![Bytes::from(buffered)], body));
                 }
             };
             match frame {
-                None => return Some(Read::Whole(outcome, Bytes::from(kept))),
+                None => return Some(ReadResponse::Complete(outcome, Bytes::from(buffered))),
                 Some(Err(_)) => return None,
-                // Trailers go no further.
-                Some(Ok(frame)) => kept.extend_from_slice(frame.data_ref().map_or(&[][..], |data| data)),
+                // Trailers are not forwarded.
+                Some(Ok(frame)) => {
+                    buffered.extend_from_slice(frame.data_ref().map_or(&[][..], |data| data))
+                }
             }
-            if kept.len() > WHOLE_MOST {
-                return (outcome == Outcome::Ok).then(|| Read::Long(vec![Bytes::from(kept)], body));
+            if buffered.len() > MAX_BUFFERED_RESPONSE {
+                return (outcome == Outcome::Ok)
+                    .then(|| ReadResponse::Streaming(vec![Bytes::from(buffered)], body));
             }
         }
     }
 
-    /// Keeps a connection for who comes next, once it has rested.
-    fn park(&self, endpoint: EndpointId, mut link: Link) {
-        link.idle_since = Instant::now();
-        link.rests_until = link.idle_since + REST;
-        self.keep(endpoint, link);
+    /// Returns a connection to the pool, to be reused after `REUSE_DELAY`.
+    fn release(&self, endpoint: EndpointId, mut connection: Connection) {
+        connection.idle_since = Instant::now();
+        connection.reusable_at = connection.idle_since + REUSE_DELAY;
+        self.add_idle(endpoint, connection);
     }
 
-    fn keep(&self, endpoint: EndpointId, link: Link) {
-        self.idle.borrow_mut().entry(endpoint).or_default().push(link);
-        self.slots.freed();
+    fn add_idle(&self, endpoint: EndpointId, connection: Connection) {
+        self.idle.borrow_mut().entry(endpoint).or_default().push(connection);
+        self.slots.notify_changed();
     }
 
     /// Asks an endpoint for its load.
@@ -326,7 +346,7 @@
         let request = Request::get("/-/load").header(header::HOST, address.to_string());
         let Ok(request) = request.body(RequestBody::empty()) else { return Ended::bare(Outcome::Error) };
         let progress = AttemptProgress::for_probe();
-        match timeout(PROBE, self.attempt(endpoint, address, request, &progress)).await {
+        match timeout(PROBE_TIMEOUT, self.attempt(endpoint, address, request, &progress)).await {
             Ok(mut ended) => {
                 let ResponseBody::Buffered(body) = &ended.body else { return Ended::bare(Outcome::Error) };
                 let in_body = std::str::from_utf8(body).ok().and_then(|text| self.load_reports.read(text));
@@ -337,17 +357,17 @@
         }
     }
 
-    /// Connects that endpoints with full tables have refused.
+    /// Number of connects that endpoints with full connection tables have refused.
     pub fn full_refusals(&self) -> u64 {
         self.slots.full_refusals()
     }
 
-    /// How many connections are idle.
+    /// Number of idle connections.
     pub fn idle_count(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
-    /// Lets something new be written to an endpoint at this address alone, or nothing at all.
+    /// Admits new requests to an endpoint at this address alone, or no longer.
     pub fn set_admitted(&self, endpoint: EndpointId, at: Option<SocketAddr>) {
         if at.is_none() {
             self.routes.borrow_mut().forget(endpoint);
@@ -355,176 +375,181 @@
         self.gate.admit(endpoint, at);
     }
 
-    /// From then on no request may begin by the list that is held; one that waits for a connection is withdrawn.
+    /// Sets when the list lease expires: after that no request may be started by the current list, and one
+    /// that waits for a connection is withdrawn.
     pub fn set_list_lease(&self, expires: Option<Instant>) {
         self.gate.set_list_lease(expires);
     }
 
-    /// Ends once nothing of an attempt may be written any more.
-    async fn withdrawn(&self, endpoint: EndpointId, address: SocketAddr, progress: &AttemptProgress) {
+    /// Returns once the attempt must no longer be written.
+    async fn write_forbidden(&self, endpoint: EndpointId, address: SocketAddr, progress: &AttemptProgress) {
         match &progress.conditions {
             Some(conditions) => tokio::select! {
                 () = self.gate.closed(endpoint, address) => {}
                 () = conditions.violated() => {}
             },
-            None => self.gate.left(endpoint, address).await,
+            None => self.gate.not_admitted(endpoint, address).await,
         }
     }
 
-    /// A connection, kept or new; whether it is new.
-    async fn link(
+    /// Returns a pooled or a new connection, and whether it is new.
+    async fn acquire(
         self: &Rc<Self>,
         endpoint: EndpointId,
         address: SocketAddr,
-    ) -> Result<(Link, bool), NoLink> {
+    ) -> Result<(Connection, bool), AcquireError> {
         match self.take_idle(endpoint, address).await {
-            Some(link) => Ok((link, false)),
-            None => self.connect(endpoint, address).await.map(|link| (link, true)),
+            Some(connection) => Ok((connection, false)),
+            None => self.connect(endpoint, address).await.map(|connection| (connection, true)),
         }
     }
 
-    /// Closes idle connections to an endpoint.
+    /// Closes the idle connections to an endpoint.
     pub fn close_idle(&self, endpoint: EndpointId) {
         self.idle.borrow_mut().remove(&endpoint);
         self.spares.borrow_mut().forget(endpoint);
     }
 
-    /// Closes idle connections to an endpoint on which nothing was heard since then: a machine that is
-    /// cut off leaves them open and silent, and each would cost one more request all its time, where a
-    /// new connection fails at once and proves that nothing ran.
+    /// Closes idle connections to an endpoint that have been idle since `since` or longer. If a machine is
+    /// cut off, they stay open without a response, and each would cost one more request its whole timeout,
+    /// whereas a new connection fails at once and proves that the request was not processed.
     pub fn close_idle_since(&self, endpoint: EndpointId, since: Instant) {
-        if let Some(links) = self.idle.borrow_mut().get_mut(&endpoint) {
-            links.retain(|link| link.idle_since > since);
+        if let Some(connections) = self.idle.borrow_mut().get_mut(&endpoint) {
+            connections.retain(|connection| connection.idle_since > since);
         }
     }
 
     /// Closes the connection that has been idle longest; false if there is none.
     pub fn close_oldest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.iter().filter_map(|(id, links)| Some((links.first()?.idle_since, *id))).min();
+        let oldest =
+            idle.iter().filter_map(|(id, connections)| Some((connections.first()?.idle_since, *id))).min();
         let Some((_, id)) = oldest else { return false };
-        idle.get_mut(&id).map(|links| links.remove(0)).is_some()
+        idle.get_mut(&id).map(|connections| connections.remove(0)).is_some()
     }
 
-    /// Closes, from time to time, what has been idle for too long or was closed by the endpoint.
+    /// Periodically closes connections that have been idle for too long or were closed by the endpoint.
     pub async fn sweep(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(SWEEP).await;
-            self.idle.borrow_mut().retain(|_, links| {
-                links.retain(|link| self.usable(link));
-                !links.is_empty()
+            tokio::time::sleep(SWEEP_INTERVAL).await;
+            self.idle.borrow_mut().retain(|_, connections| {
+                connections.retain(|connection| self.is_usable(connection));
+                !connections.is_empty()
             });
         }
     }
 
-    fn usable(&self, link: &Link) -> bool {
-        let most = self.aged.idle_limit(self.idle_most);
-        !link.sender.is_closed() && link.idle_since.elapsed() < most
+    fn is_usable(&self, connection: &Connection) -> bool {
+        let limit = self.aged.idle_limit(self.idle_timeout);
+        !connection.sender.is_closed() && connection.idle_since.elapsed() < limit
     }
 
-    /// The most recently used idle connection that has rested, or else one once it has: the others may
-    /// then age and be closed.
-    async fn take_idle(self: &Rc<Self>, endpoint: EndpointId, address: SocketAddr) -> Option<Link> {
+    /// Takes the most recently used idle connection that may be reused now, or else waits for one. The
+    /// others may then reach their idle timeout and be closed.
+    async fn take_idle(self: &Rc<Self>, endpoint: EndpointId, address: SocketAddr) -> Option<Connection> {
         loop {
             let now = Instant::now();
-            let link = {
+            let connection = {
                 let mut idle = self.idle.borrow_mut();
-                let links = idle.get_mut(&endpoint)?;
-                let rested = links.iter().rposition(|link| link.rests_until <= now);
-                (!links.is_empty()).then(|| links.remove(rested.unwrap_or(0)))?
+                let connections = idle.get_mut(&endpoint)?;
+                let reusable = connections.iter().rposition(|connection| connection.reusable_at <= now);
+                (!connections.is_empty()).then(|| connections.remove(reusable.unwrap_or(0)))?
             };
-            let link = if link.rests_until > now {
-                self.note_wait(endpoint, address, link.rests_until - now);
-                Resting { outbound: self, endpoint, link: Some(link) }.rested().await?
+            let connection = if connection.reusable_at > now {
+                self.record_wait(endpoint, address, connection.reusable_at - now);
+                PendingReuse { outbound: self, endpoint, connection: Some(connection) }.reusable().await?
             } else {
-                link
+                connection
             };
-            // At another address another machine may listen by now. What has come unasked, or the end, makes a
-            // connection useless; hyper sees only what the runtime has seen, which may be long ago where the
-            // processor is short.
-            if link.address == address && self.usable(&link) && !link.heard.pending() {
-                return Some(link);
+            // Another machine may listen at a former address by now. Unsolicited bytes, or the end, make a
+            // connection unusable. hyper sees them only once the runtime has polled the socket, which may
+            // be long ago if the processor is overloaded.
+            if connection.address == address
+                && self.is_usable(&connection)
+                && !connection.monitor.has_pending_input()
+            {
+                return Some(connection);
             }
         }
     }
 
-    /// A request waits for so long until a connection has rested. Where such waits have become worth one more
-    /// connection, that is opened beside the wait: the request depends on nothing of it.
-    fn note_wait(self: &Rc<Self>, endpoint: EndpointId, address: SocketAddr, wait: Duration) {
-        if !self.spares.borrow_mut().waits(endpoint, wait) {
+    /// Records that a request waits this long for a connection to become reusable. If such waits have
+    /// become worth another connection, it is opened in the background, independently of this request.
+    fn record_wait(self: &Rc<Self>, endpoint: EndpointId, address: SocketAddr, wait: Duration) {
+        if !self.spares.borrow_mut().record_wait(endpoint, wait) {
             return;
         }
         let this = self.clone();
         spawn_local(async move { this.open_spare(endpoint, address).await });
     }
 
-    /// Opens one more connection and keeps it, where that takes no place of another one.
+    /// Opens an additional connection for the pool, if a slot and a permit are free.
     async fn open_spare(&self, endpoint: EndpointId, address: SocketAddr) {
-        let Ok(slot) = self.slots.try_take(endpoint) else { return };
+        let Ok(slot) = self.slots.try_acquire(endpoint) else { return };
         let Some(permit) = self.budget.try_acquire(Holder::Endpoint) else { return };
-        let Ok(link) = self.open(endpoint, address, slot, permit).await else { return };
-        // It may have been left, or have moved, in the meantime.
+        let Ok(connection) = self.open(endpoint, address, slot, permit).await else { return };
+        // The endpoint may have been removed, or have got another address, in the meantime.
         if self.gate.admits(endpoint, address) {
             debug!(endpoint = endpoint.0, "one more connection, for requests that waited");
-            self.keep(endpoint, link);
+            self.add_idle(endpoint, connection);
         }
     }
 
-    async fn connect(&self, endpoint: EndpointId, address: SocketAddr) -> Result<Link, NoLink> {
-        let slot = self.slots.take(endpoint).await.map_err(|admission| match admission {
-            Admission::Full => NoLink::Ends(Outcome::Rejected),
-            Admission::Open | Admission::Wait => NoLink::LookAgain,
+    async fn connect(&self, endpoint: EndpointId, address: SocketAddr) -> Result<Connection, AcquireError> {
+        let slot = self.slots.acquire(endpoint).await.map_err(|admission| match admission {
+            Admission::Full => AcquireError::Failed(Outcome::Rejected),
+            Admission::Open | Admission::Wait => AcquireError::RetryPool,
         })?;
         let permit = loop {
             match self.budget.try_acquire(Holder::Endpoint) {
                 Some(permit) => break permit,
                 None if self.close_oldest_idle() => {}
-                // No descriptor is left to this process.
-                None => return Err(NoLink::Ends(Outcome::LocalFault)),
+                // This process has no descriptor left.
+                None => return Err(AcquireError::Failed(Outcome::LocalFault)),
             }
         };
         self.open(endpoint, address, slot, permit).await
     }
 
-    /// Opens a connection in a place that it has.
+    /// Opens a connection in a slot and with a permit.
     async fn open(
         &self,
         endpoint: EndpointId,
         address: SocketAddr,
         slot: Slot,
         permit: Permit,
-    ) -> Result<Link, NoLink> {
-        const FAILED: NoLink = NoLink::Ends(Outcome::ConnectFailed);
+    ) -> Result<Connection, AcquireError> {
+        const FAILED: AcquireError = AcquireError::Failed(Outcome::ConnectFailed);
         let stream = match connect(address, self.connect_timeout).await {
             Ok(stream) => stream,
             Err(ConnectError::Refused) => {
                 return Err(match slot.refused() {
-                    Refusal::Full => NoLink::Ends(Outcome::Rejected),
+                    Refusal::Full => AcquireError::Failed(Outcome::Rejected),
                     Refusal::Unknown => FAILED,
                 });
             }
-            Err(error) => return Err(NoLink::Ends(self.outcome_of(endpoint, &error))),
+            Err(error) => return Err(AcquireError::Failed(self.outcome_of(endpoint, &error))),
         };
         self.routes.borrow_mut().connected(self.since.elapsed(), endpoint);
-        let (socket, heard) = Socket::new(stream);
-        let handshake = http1::Builder::new().max_buf_size(BUFFER_MOST).handshake(TokioIo::new(socket));
-        let (sender, connection) = handshake.await.map_err(|_| FAILED)?;
-        let task = spawn_local(connection);
-        slot.up();
-        let up = Instant::now();
-        Ok(Link {
+        let (socket, monitor) = Socket::new(stream);
+        let handshake = http1::Builder::new().max_buf_size(MAX_BUFFER).handshake(TokioIo::new(socket));
+        let (sender, driver) = handshake.await.map_err(|_| FAILED)?;
+        let task = spawn_local(driver);
+        slot.connected();
+        let opened_at = Instant::now();
+        Ok(Connection {
             sender,
-            heard,
+            monitor,
             address,
-            idle_since: up,
-            rests_until: up,
-            _connection: AbortOnDrop::new(task.abort_handle()),
+            idle_since: opened_at,
+            reusable_at: opened_at,
+            _task: AbortOnDrop::new(task.abort_handle()),
             _slot: slot,
             _permit: permit,
         })
     }
 
-    /// What becomes of an attempt for which no connection came up.
+    /// The outcome of an attempt for which no connection could be opened.
     fn outcome_of(&self, endpoint: EndpointId, error: &ConnectError) -> Outcome {
         let local = match error {
             ConnectError::Resources(_) => true,
@@ -539,17 +564,18 @@
     }
 }
 
-/// Ends once an answer has begun and pauses for too long, or its head takes too long. What comes ahead of
-/// an answer says nothing of when that will come.
-async fn stalled(heard: &Heard, ahead: &AtomicBool, headed: &Cell<bool>) {
+/// Returns once a response that has begun pauses for too long, or its head takes too long. An informational
+/// (1xx) response does not tell when the final one will arrive.
+async fn stalled(monitor: &SocketMonitor, informational: &AtomicBool, has_head: &Cell<bool>) {
     loop {
-        let began = heard.began().filter(|_| headed.get() || !ahead.load(Ordering::Relaxed));
+        let began =
+            monitor.first_byte_at().filter(|_| has_head.get() || !informational.load(Ordering::Relaxed));
         if let Some(began) = began {
-            let slow = !headed.get() && began.elapsed() >= HEAD_TIME;
-            if slow || heard.silence() >= ANSWER_PAUSE {
+            let slow = !has_head.get() && began.elapsed() >= HEAD_TIMEOUT;
+            if slow || monitor.silence() >= RESPONSE_STALL_TIMEOUT {
                 return;
             }
         }
-        sleep(ANSWER_PAUSE / 8).await;
+        sleep(RESPONSE_STALL_TIMEOUT / 8).await;
     }
 }
--- a/crates/runtime/src/slots.rs
+++ b/crates/runtime/src/slots.rs
@@ -1,4 +1,4 @@
-//! Leave to open connections to endpoints: each that is up or on its way holds a slot.
+//! Limits the connections to endpoints: each connection that is open or being opened holds a slot.
 
 use curlewhub_balance::EndpointId;
 use curlewhub_connection_quota::{Admission, ConnectionQuota, QuotaSettings, Refusal};
@@ -16,73 +16,75 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Stage {
+enum SlotState {
     Opening,
-    Up,
+    Open,
     Refused,
 }
 
-/// One connection, up or on its way; given back when dropped.
+/// The slot of one connection that is open or being opened; released when dropped.
 pub struct Slot {
     slots: Rc<Slots>,
     endpoint: EndpointId,
-    stage: Cell<Stage>,
+    state: Cell<SlotState>,
 }
 
 impl Slots {
-    /// No connections yet.
+    /// Creates them without any connection.
     pub fn new(settings: QuotaSettings, seed: u64) -> Rc<Self> {
         let (quota, changed) = (RefCell::new(ConnectionQuota::new(settings, seed)), Notify::new());
         Rc::new(Slots { quota, since: Instant::now(), changed })
     }
 
-    /// A slot for a new connection; none where all that may be are up, or the endpoint took no more just now.
-    /// Waits, where others are on their way, for one of these to come up, fail or come free: then there may be
-    /// an idle connection as well, so who asked looks there again.
-    pub async fn take(self: &Rc<Self>, endpoint: EndpointId) -> Result<Slot, Admission> {
-        let taken = self.try_take(endpoint);
+    /// Acquires a slot for a new connection; none if the limit is reached, or the endpoint has just refused
+    /// one because its table is full. While others are being opened, waits until one of them is open, has
+    /// failed or is released: there may be an idle connection then, so the caller looks in the pool again.
+    pub async fn acquire(self: &Rc<Self>, endpoint: EndpointId) -> Result<Slot, Admission> {
+        let taken = self.try_acquire(endpoint);
         if matches!(taken, Err(Admission::Wait)) {
             self.changed.notified().await;
         }
         taken
     }
 
-    /// The same without a wait.
-    pub fn try_take(self: &Rc<Self>, endpoint: EndpointId) -> Result<Slot, Admission> {
+    /// As [`Slots::acquire`], without waiting.
+    pub fn try_acquire(self: &Rc<Self>, endpoint: EndpointId) -> Result<Slot, Admission> {
         match self.quota.borrow_mut().admit(self.since.elapsed(), endpoint.0) {
-            Admission::Open => Ok(Slot { slots: self.clone(), endpoint, stage: Cell::new(Stage::Opening) }),
+            Admission::Open => {
+                Ok(Slot { slots: self.clone(), endpoint, state: Cell::new(SlotState::Opening) })
+            }
             refused @ (Admission::Wait | Admission::Full) => Err(refused),
         }
     }
 
-    /// A connection came free, or another one may be opened.
-    pub fn freed(&self) {
+    /// Notifies waiting callers: a connection became idle, or another one may be opened.
+    pub fn notify_changed(&self) {
         self.changed.notify_waiters();
     }
 
-    /// How long an idle connection is kept that could be kept for so long.
-    pub fn idle_timeout(&self, most: Duration) -> Duration {
-        self.quota.borrow().settings().idle_timeout(most)
+    /// The idle timeout of connections, if it may be at most `limit`.
+    pub fn idle_timeout(&self, limit: Duration) -> Duration {
+        self.quota.borrow().settings().idle_timeout(limit)
     }
 
-    /// Connects that endpoints with full tables have refused.
+    /// Number of connects that endpoints with full connection tables have refused.
     pub fn full_refusals(&self) -> u64 {
         self.quota.borrow().full_refusals()
     }
 }
 
 impl Slot {
-    /// Its connection is up.
-    pub fn up(&self) {
-        if self.stage.replace(Stage::Up) == Stage::Opening {
+    /// Records that the connection is open.
+    pub fn connected(&self) {
+        if self.state.replace(SlotState::Open) == SlotState::Opening {
             self.slots.quota.borrow_mut().connect_succeeded(self.endpoint.0);
-            self.slots.freed();
+            self.slots.notify_changed();
         }
     }
 
-    /// Its connection was refused; what that says.
+    /// Records that the connection was refused. Returns what the refusal implies.
     pub fn refused(self) -> Refusal {
-        self.stage.set(Stage::Refused);
+        self.state.set(SlotState::Refused);
         let slots = &self.slots;
         slots.quota.borrow_mut().connect_refused(slots.since.elapsed(), self.endpoint.0)
     }
@@ -91,11 +93,11 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         let endpoint = self.endpoint.0;
-        match self.stage.get() {
-            Stage::Opening => self.slots.quota.borrow_mut().connect_failed(endpoint),
-            Stage::Up => self.slots.quota.borrow_mut().connection_closed(endpoint),
-            Stage::Refused => {}
+        match self.state.get() {
+            SlotState::Opening => self.slots.quota.borrow_mut().connect_failed(endpoint),
+            SlotState::Open => self.slots.quota.borrow_mut().connection_closed(endpoint),
+            SlotState::Refused => {}
         }
-        self.slots.freed();
+        self.slots.notify_changed();
     }
 }
--- a/crates/runtime/src/socket.rs
+++ b/crates/runtime/src/socket.rs
@@ -1,4 +1,4 @@
-//! A TCP connection that notes what comes in, under hyper, which keeps that to itself.
+//! A TCP socket for hyper that records what is read and written, because hyper does not expose it.
 
 use super::connect::is_local;
 use super::figures::Metrics;
@@ -15,209 +15,214 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Buffer of a connection, either way; also bounds a message's head.
-pub const BUFFER_MOST: usize = 64 * 1024;
+/// Buffer size of a connection, in each direction; also limits a message's head.
+pub const MAX_BUFFER: usize = 64 * 1024;
 
-/// How often a connection that only lingers looks whether its peer has ended.
+/// Interval at which a lingering connection checks whether its peer has ended it.
 const PEER_END_CHECK: Duration = Duration::from_millis(50);
-/// What is taken in at once of what nobody wants.
-const LINGER_PIECE: usize = 16 * 1024;
+/// Maximum number of bytes read at once while lingering.
+const LINGER_READ_LEN: usize = 16 * 1024;
 
-/// What has come in, for who uses the connection.
-pub struct Heard {
+/// What is known about a connection's reads and writes, for the user of the connection.
+pub struct SocketMonitor {
     stream: TcpStream,
-    /// The last look found bytes: more may lie unread between here and the reader.
-    more: Cell<bool>,
-    /// When the first byte came since `forget`.
-    began: Cell<Option<Instant>>,
-    /// When the last bytes came, and when some were last written.
-    last: Cell<Instant>,
-    wrote: Cell<Instant>,
-    /// Looks at the framing of the requests that come in.
+    /// The last read returned bytes: there may be more to be read.
+    more_input: Cell<bool>,
+    /// When the first byte arrived since `reset`.
+    first_byte: Cell<Option<Instant>>,
+    /// When bytes were last read, and when some were last written.
+    last_read: Cell<Instant>,
+    last_write: Cell<Instant>,
+    /// Tracks the framing headers of incoming requests.
     framing: RefCell<Framing>,
-    /// Raised once more has been written.
-    awaiting: RefCell<Option<Rc<Metrics>>>,
-    /// Asked right before the first byte is written of what goes out next.
-    leave: RefCell<Option<Leave>>,
-    /// What a read or write failed with.
-    broke: Cell<Option<Break>>,
-    /// It said no: nothing of that was written, and nothing more is.
-    withheld: Cell<bool>,
+    /// Metrics in which the attempt is to be recorded after the next write.
+    count_after_write: RefCell<Option<Rc<Metrics>>>,
+    /// Checked immediately before the first byte of the next message is written.
+    write_check: RefCell<Option<WriteCheck>>,
+    /// Cause of a failed read or write.
+    failure: Cell<Option<FailureCause>>,
+    /// The check failed, or the connection is to be reset: nothing was written since, and nothing will be.
+    write_rejected: Cell<bool>,
 }
 
-/// Where a connection broke.
+/// Cause of a broken connection.
 #[derive(Clone, Copy, PartialEq)]
-enum Break {
-    /// The other side ended or reset it.
+enum FailureCause {
+    /// The peer closed or reset it.
     Peer,
-    /// The network gave it up: the other side can't be reached, or has not answered for long.
+    /// The network failed: the peer is unreachable, or has not answered for long.
     Network,
-    /// This machine is out of something.
+    /// This machine lacks a resource.
     Local,
 }
 
-impl Break {
+impl FailureCause {
     fn of(error: &io::Error) -> Self {
         use io::ErrorKind::{HostUnreachable, NetworkDown, NetworkUnreachable, TimedOut};
         match error.kind() {
-            _ if is_local(error) => Break::Local,
-            HostUnreachable | NetworkDown | NetworkUnreachable | TimedOut => Break::Network,
-            _ => Break::Peer,
+            _ if is_local(error) => FailureCause::Local,
+            HostUnreachable | NetworkDown | NetworkUnreachable | TimedOut => FailureCause::Network,
+            _ => FailureCause::Peer,
         }
     }
 }
 
-/// Whether what is about to be written may still go.
-pub type Leave = Box<dyn Fn() -> bool>;
+/// Returns whether a message may still be written.
+pub type WriteCheck = Box<dyn Fn() -> bool>;
 
-/// Which framings a message's head names, as its bytes pass by.
+/// The framing headers that a message head contains, found while its bytes are read.
 #[derive(Default)]
 struct Framing {
-    /// The beginning of the line that is coming, in lower case.
+    /// The beginning of the current line, in lower case.
     line: Vec<u8>,
-    /// A line that is not empty has come.
-    begun: bool,
-    /// The head is over.
-    over: bool,
-    length: bool,
-    chunks: bool,
+    /// A non-empty line was read.
+    has_line: bool,
+    /// The head is complete.
+    is_complete: bool,
+    has_length: bool,
+    has_transfer_encoding: bool,
 }
 
 impl Framing {
-    /// The longest name looked for, with its colon.
-    const NAME_MOST: usize = b"transfer-encoding:".len();
+    /// Length of the longest header name searched for, with its colon.
+    const MAX_NAME_LEN: usize = b"transfer-encoding:".len();
 
-    fn see(&mut self, bytes: &[u8]) {
+    fn scan(&mut self, bytes: &[u8]) {
         for byte in bytes {
             match byte {
-                _ if self.over => return,
+                _ if self.is_complete => return,
                 b'\n' => {
-                    self.length |= self.line.starts_with(b"content-length:");
-                    self.chunks |= self.line.starts_with(b"transfer-encoding:");
-                    // Empty lines may come ahead of a request; after one of its lines they end its head.
-                    self.over = self.begun && self.line.is_empty();
-                    self.begun |= !self.line.is_empty();
+                    self.has_length |= self.line.starts_with(b"content-length:");
+                    self.has_transfer_encoding |= self.line.starts_with(b"transfer-encoding:");
+                    // Empty lines may precede a request; after its first line an empty one ends the head.
+                    self.is_complete = self.has_line && self.line.is_empty();
+                    self.has_line |= !self.line.is_empty();
                     self.line.clear();
                 }
                 b'\r' => {}
-                _ if self.line.len() < Self::NAME_MOST => self.line.push(byte.to_ascii_lowercase()),
+                _ if self.line.len() < Self::MAX_NAME_LEN => self.line.push(byte.to_ascii_lowercase()),
                 _ => {}
             }
         }
     }
 }
 
-/// The connection itself, for hyper.
-pub struct Socket(Rc<Heard>);
+/// The socket itself, for hyper.
+pub struct Socket(Rc<SocketMonitor>);
 
 impl Socket {
-    /// This connection, and what it notes.
-    pub fn new(stream: TcpStream) -> (Self, Rc<Heard>) {
-        let heard = Rc::new(Heard {
+    /// Wraps a connection. Returns the socket, and the monitor of its reads and writes.
+    pub fn new(stream: TcpStream) -> (Self, Rc<SocketMonitor>) {
+        let monitor = Rc::new(SocketMonitor {
             stream,
-            more: Cell::new(false),
-            began: Cell::new(None),
-            last: Cell::new(Instant::now()),
-            wrote: Cell::new(Instant::now()),
+            more_input: Cell::new(false),
+            first_byte: Cell::new(None),
+            last_read: Cell::new(Instant::now()),
+            last_write: Cell::new(Instant::now()),
             framing: RefCell::default(),
-            awaiting: RefCell::default(),
-            leave: RefCell::default(),
-            broke: Cell::default(),
-            withheld: Cell::default(),
+            count_after_write: RefCell::default(),
+            write_check: RefCell::default(),
+            failure: Cell::default(),
+            write_rejected: Cell::default(),
         });
-        (Socket(heard.clone()), heard)
+        (Socket(monitor.clone()), monitor)
     }
 }
 
-impl Heard {
-    /// Whether bytes came that hyper has not gone beyond: it looks at the socket again only once it
-    /// has used up what it had.
-    pub fn more(&self) -> bool {
-        self.more.get()
+impl SocketMonitor {
+    /// Whether bytes were read that hyper has not processed completely: it reads from the socket again only
+    /// after that.
+    pub fn has_more_input(&self) -> bool {
+        self.more_input.get()
     }
 
-    /// When the first byte came since all was forgotten.
-    pub fn began(&self) -> Option<Instant> {
-        self.began.get()
+    /// When the first byte arrived since the last reset.
+    pub fn first_byte_at(&self) -> Option<Instant> {
+        self.first_byte.get()
     }
 
-    /// For how long nothing has come, though it could have been read.
+    /// How long nothing has arrived; zero if something is there to be read.
     pub fn silence(&self) -> Duration {
-        if self.pending() { Duration::ZERO } else { self.last.get().elapsed() }
+        if self.has_pending_input() { Duration::ZERO } else { self.last_read.get().elapsed() }
     }
 
-    /// For how long nothing could be written.
-    pub fn unwritten(&self) -> Duration {
-        self.wrote.get().elapsed()
+    /// How long nothing could be written.
+    pub fn write_stall(&self) -> Duration {
+        self.last_write.get().elapsed()
     }
 
-    /// Whether the head that came states a length beside chunks: hyper then takes the chunks and hides the
-    /// length, but whoever sent both may mean either.
-    pub fn framed_twice(&self) -> bool {
+    /// Whether the head has both a `Content-Length` and a `Transfer-Encoding`. hyper then uses the chunks
+    /// and hides the length, but the sender may have meant either.
+    pub fn has_conflicting_framing(&self) -> bool {
         let framing = self.framing.borrow();
-        framing.length && framing.chunks
+        framing.has_length && framing.has_transfer_encoding
     }
 
-    /// Begins anew.
-    pub fn forget(&self) {
-        self.began.set(None);
+    /// Resets the time of the first byte and the framing for the next message.
+    pub fn reset(&self) {
+        self.first_byte.set(None);
         self.framing.take();
     }
 
-    /// An attempt's last piece is on its way: counts the attempt once something has been written.
-    pub fn count_written(&self, metrics: Rc<Metrics>) {
-        self.awaiting.replace(Some(metrics));
+    /// Records the attempt in the metrics after the next write: its last piece is about to be written.
+    pub fn count_when_written(&self, metrics: Rc<Metrics>) {
+        self.count_after_write.replace(Some(metrics));
     }
 
-    /// The next byte is the first of something that goes only if this still holds then.
-    pub fn begins(&self, leave: Leave) {
-        self.leave.replace(Some(leave));
+    /// The next byte starts a message that may be written only if this check passes at that time.
+    pub fn set_write_check(&self, check: WriteCheck) {
+        self.write_check.replace(Some(check));
     }
 
-    /// Whether something did not go after all: not a byte of it was written.
-    pub fn withheld(&self) -> bool {
-        self.withheld.get()
+    /// Whether a message was not written because its check failed: not a byte of it was sent.
+    pub fn write_rejected(&self) -> bool {
+        self.write_rejected.get()
     }
 
-    /// Whether it broke without the other side's doing.
-    pub fn broke_elsewhere(&self) -> bool {
-        matches!(self.broke.get(), Some(Break::Local | Break::Network))
+    /// Whether it broke for a reason other than the peer.
+    pub fn failed_not_by_peer(&self) -> bool {
+        matches!(self.failure.get(), Some(FailureCause::Local | FailureCause::Network))
     }
 
     /// Whether it broke by a fault of this machine.
-    pub fn broke_locally(&self) -> bool {
-        self.broke.get() == Some(Break::Local)
+    pub fn failed_locally(&self) -> bool {
+        self.failure.get() == Some(FailureCause::Local)
     }
 
-    /// What is still to be written is of no use, and a plain end would pass for a whole answer: the connection is
-    /// reset as it is closed.
-    pub fn resets(&self) {
-        // Fails only on a socket that has ended already.
+    /// Makes the close a reset: the rest of the response can't be sent, and an orderly end would make the
+    /// client take it for complete.
+    pub fn reset_on_close(&self) {
+        // Fails only on a socket that has already ended.
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
-        self.withheld.set(true);
+        self.write_rejected.set(true);
     }
 
-    /// Ends the sending and takes in what still comes, to the peer's end or so many bytes: a close over bytes that
-    /// nobody read resets the connection, and takes the last answer with it. Nothing of it is looked at.
-    pub async fn linger(&self, most: usize) {
-        if self.withheld.get() || SockRef::from(&self.stream).shutdown(std::net::Shutdown::Write).is_err() {
+    /// Shuts down the sending side, then reads and drops input up to the peer's end or `limit` bytes:
+    /// closing with unread bytes resets the connection, and the client may lose the last response. The
+    /// input is not interpreted.
+    pub async fn linger(&self, limit: usize) {
+        if self.write_rejected.get()
+            || SockRef::from(&self.stream).shutdown(std::net::Shutdown::Write).is_err()
+        {
             return;
         }
-        let (mut scratch, mut taken) = ([0; LINGER_PIECE], 0);
-        while taken < most && self.stream.readable().await.is_ok() {
+        let (mut scratch, mut dropped) = ([0; LINGER_READ_LEN], 0);
+        while dropped < limit && self.stream.readable().await.is_ok() {
             match self.stream.try_read(&mut scratch) {
                 Ok(0) => return,
-                Ok(count) => taken += count,
+                Ok(count) => dropped += count,
                 Err(e) if is_retryable(&e) => {}
                 Err(_) => return,
             }
         }
     }
 
-    /// Ends the sending and reads nothing more, until the peer has ended too: what crosses that end is no request that
-    /// was taken, and is turned back by a reset once the connection is dropped.
+    /// Shuts down the sending side and reads nothing more until the peer has ended too. A request that
+    /// crosses that end was not accepted, and is answered by a reset once the connection is dropped.
     pub async fn linger_unread(&self) {
-        if self.withheld.get() || SockRef::from(&self.stream).shutdown(std::net::Shutdown::Write).is_err() {
+        if self.write_rejected.get()
+            || SockRef::from(&self.stream).shutdown(std::net::Shutdown::Write).is_err()
+        {
             return;
         }
         while !self.peer_has_ended() {
@@ -225,7 +230,7 @@
         }
     }
 
-    /// Whether the peer's end is all that the kernel still holds, or the connection is broken. Reads nothing.
+    /// Whether the kernel holds only the peer's end, or the connection is broken. Reads nothing.
     fn peer_has_ended(&self) -> bool {
         match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit(); 1]) {
             Ok(count) => count == 0,
@@ -233,9 +238,9 @@
         }
     }
 
-    /// Whether the kernel holds anything unread, or the end. Asked of it directly: the runtime only
-    /// knows what its last look at all sockets has shown.
-    pub fn pending(&self) -> bool {
+    /// Whether the kernel holds unread bytes or the peer's end. It asks the kernel, because the runtime
+    /// only knows the result of its last poll.
+    pub fn has_pending_input(&self) -> bool {
         let socket = SockRef::from(&self.stream);
         let peeked = uninterrupted(|| socket.peek(&mut [MaybeUninit::uninit(); 1]));
         !peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
@@ -248,27 +253,27 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let heard = &self.0;
+        let monitor = &self.0;
         loop {
-            let Poll::Ready(ready) = heard.stream.poll_read_ready(cx) else {
-                heard.more.set(false);
+            let Poll::Ready(ready) = monitor.stream.poll_read_ready(cx) else {
+                monitor.more_input.set(false);
                 return Poll::Pending;
             };
             ready?;
-            match heard.stream.try_read(buf.initialize_unfilled()) {
+            match monitor.stream.try_read(buf.initialize_unfilled()) {
                 Ok(count) => {
-                    heard.framing.borrow_mut().see(&buf.initialize_unfilled()[..count]);
-                    heard.last.set(Instant::now());
+                    monitor.framing.borrow_mut().scan(&buf.initialize_unfilled()[..count]);
+                    monitor.last_read.set(Instant::now());
                     buf.advance(count);
-                    heard.more.set(count > 0);
-                    if count > 0 && heard.began.get().is_none() {
-                        heard.began.set(Some(Instant::now()));
+                    monitor.more_input.set(count > 0);
+                    if count > 0 && monitor.first_byte.get().is_none() {
+                        monitor.first_byte.set(Some(Instant::now()));
                     }
                     return Poll::Ready(Ok(()));
                 }
                 Err(e) if is_retryable(&e) => {}
                 Err(e) => {
-                    heard.broke.set(Some(Break::of(&e)));
+                    monitor.failure.set(Some(FailureCause::of(&e)));
                     return Poll::Ready(Err(e));
                 }
             }
@@ -288,23 +293,23 @@
     ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.stream.poll_write_ready(cx))?;
-            let leave = self.0.leave.take();
-            if self.0.withheld.get() || leave.as_ref().is_some_and(|leave| !leave()) {
-                self.0.withheld.set(true);
+            let check = self.0.write_check.take();
+            if self.0.write_rejected.get() || check.as_ref().is_some_and(|check| !check()) {
+                self.0.write_rejected.set(true);
                 return Poll::Ready(Err(io::ErrorKind::PermissionDenied.into()));
             }
             match self.0.stream.try_write_vectored(parts) {
                 Err(e) if is_retryable(&e) => {
-                    // Nothing was written: it is asked anew before the next try.
-                    self.0.leave.replace(leave);
+                    // Nothing was written: the check is repeated before the next try.
+                    self.0.write_check.replace(check);
                 }
                 written => {
                     if let Err(e) = &written {
-                        self.0.broke.set(Some(Break::of(e)));
+                        self.0.failure.set(Some(FailureCause::of(e)));
                     }
-                    self.0.wrote.set(Instant::now());
+                    self.0.last_write.set(Instant::now());
                     if written.as_ref().is_ok_and(|count| *count > 0)
-                        && let Some(metrics) = self.0.awaiting.take()
+                        && let Some(metrics) = self.0.count_after_write.take()
                     {
                         metrics.record_attempt();
                     }
--- a/crates/runtime/src/spares.rs
+++ b/crates/runtime/src/spares.rs
@@ -1,60 +1,64 @@
-//! When one more connection to an endpoint is worth its handshake, though none is needed at this moment.
+//! Decides when an additional connection to an endpoint is worth its handshake, although none is needed at
+//! this moment.
 //!
-//! A connection is not used for [`REST`] after an answer. A request that finds only such connections waits, which
-//! costs it time; one more connection would cost the endpoint a handshake. Neither side knows what comes, so it is
-//! decided as the ski-rental problem is: requests wait until their waits have added up to the price, and then the
-//! connection is opened. Whatever the requests' pattern, handshakes stay in a fixed ratio to the time that they save.
+//! A connection is not reused for [`REUSE_DELAY`] after a response. A request that finds only such
+//! connections waits, which costs it time; an additional connection would cost the endpoint a handshake.
+//! Since future requests are unknown, this is decided as a ski-rental problem: requests wait until their
+//! waits add up to the price, and then a connection is opened. Whatever the pattern of requests, the
+//! handshakes stay in a fixed ratio to the time that they save.
 
 use curlewhub_balance::EndpointId;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A connection rests for this long after an answer: what comes behind one, a second copy or noise,
-/// would otherwise answer the next request, and nothing could tell it from that one's answer.
-pub const REST: Duration = Duration::from_millis(5);
-/// What requests wait at an endpoint before the first connection is opened for that: ten whole rests. Fewer may be one
-/// caller's short burst, which is over by the time that the connection is up.
+/// Delay before a connection is reused after a response. Bytes that arrive behind a response, such as a
+/// duplicate or noise, would otherwise be taken for the response to the next request; nothing could tell
+/// them apart.
+pub const REUSE_DELAY: Duration = Duration::from_millis(5);
+/// Total wait at an endpoint before the first additional connection is opened: ten whole reuse delays. A
+/// lower total may come from a short burst of one caller, which is over by the time the connection is open.
 pub const FIRST_PRICE: Duration = Duration::from_millis(50);
-/// What they wait before each further one: as much as a handshake costs an endpoint at the most (see
-/// `curlewhub_connection_quota::MAX_PENDING_CONNECTS`). So handshakes never cost more work than they follow
-/// waits.
+/// Total wait before each further one: as much as a handshake costs an endpoint at most (see
+/// `curlewhub_connection_quota::MAX_PENDING_CONNECTS`). So handshakes never cost more work than the waits
+/// that caused them.
 pub const PRICE: Duration = Duration::from_millis(8);
 
-/// What requests have waited for resting connections, by endpoint. It has an entry for an endpoint that is listed, and
-/// for no other.
+/// The time that requests have waited for reusable connections, by endpoint. Only listed endpoints have an
+/// entry.
 #[derive(Debug, Default)]
-pub struct Spares {
+pub struct SpareConnections {
     waits: HashMap<EndpointId, Waits>,
 }
 
 /// The waits at one endpoint.
 #[derive(Debug)]
 struct Waits {
-    /// Since a connection was last opened for them.
+    /// Total since an additional connection was last opened.
     total: Duration,
-    /// What they must come to for the next one.
+    /// Total at which the next one is opened.
     price: Duration,
 }
 
-impl Spares {
-    /// A request waits for so long at this endpoint; whether one more connection is now worth its price.
-    pub fn waits(&mut self, endpoint: EndpointId, time: Duration) -> bool {
+impl SpareConnections {
+    /// Records that a request waits this long at an endpoint. Returns whether an additional connection is
+    /// now worth its price.
+    pub fn record_wait(&mut self, endpoint: EndpointId, time: Duration) -> bool {
         let first = || Waits { total: Duration::ZERO, price: FIRST_PRICE };
         let waits = self.waits.entry(endpoint).or_insert_with(first);
         waits.total += time;
-        let worth = waits.total >= waits.price;
-        if worth {
+        let is_worth_it = waits.total >= waits.price;
+        if is_worth_it {
             *waits = Waits { total: Duration::ZERO, price: PRICE };
         }
-        worth
+        is_worth_it
     }
 
-    /// The endpoint is left, or its connections are closed.
+    /// Removes the waits of an endpoint that was removed, or whose connections were closed.
     pub fn forget(&mut self, endpoint: EndpointId) {
         self.waits.remove(&endpoint);
     }
 
-    /// Endpoints at which requests have waited.
+    /// Number of endpoints at which requests have waited.
     pub fn len(&self) -> usize {
         self.waits.len()
     }
--- a/crates/runtime/src/streaming.rs
+++ b/crates/runtime/src/streaming.rs
@@ -1,9 +1,9 @@
-//! Bodies longer than are kept whole: they flow through in pieces, each side as fast as the other takes
-//! them, and never more in memory than the budget has given.
+//! Request and response bodies. Those that are too long to be buffered completely are streamed in pieces,
+//! each side as fast as the other reads, and never take more memory than the budget has granted.
 
 use super::budget::{Budget, Memory};
 use super::figures::Metrics;
-use super::socket::Heard;
+use super::socket::SocketMonitor;
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -15,208 +15,216 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep, timeout};
 
-/// No body is longer: 32 MB, counted the larger way.
-pub const BODY_MOST: u64 = 32 << 20;
-/// An answer is kept until it is whole up to this length, in bytes: spoilt, it can still be had again.
-pub const WHOLE_MOST: usize = 64 * 1024;
-/// A request's body is kept until it is whole up to this length, in bytes, where memory allows: so most
-/// are decided on only when their time runs, hold no endpoint's connection while they come, and can be
-/// sent again.
-const REQUEST_WHOLE_MOST: usize = 1 << 20;
-/// Kept bytes are packed into pieces of this length, whatever pieces they came in.
-const PIECE: usize = 64 * 1024;
-/// What a flowing body takes in buffers: of hyper on both sides, and a piece between them, in KiB.
-pub const FLOW_KIB: usize = 192;
-/// A long body that finds no memory within this is refused.
-const FLOW_WAIT: Duration = Duration::from_secs(2);
-/// The slowest that a good client writes a body, in bytes a second; it is 64 kB, less what clocks and
-/// scheduling blur.
-const RATE_LEAST: f64 = 56_000.0;
-/// From a connection's start, or a later request's first byte, a body has so long beyond what its bytes
-/// earn: bad clients are owed an error or a close within 3 s.
-const PACE_START: Duration = Duration::from_millis(2800);
-/// What bytes that came fast have earned is worth no more than this much silence.
-const PACE_SAVED: Duration = Duration::from_secs(2);
-/// An endpoint's answer on its way to the client may pause for so long: what it still gives is not to be
-/// cut off, and one that hangs is not waited for for ever.
-const FLOW_PAUSE: Duration = Duration::from_secs(10);
-/// The last byte of a body sent whole waits for this long behind the rest. A connection that was dropped,
-/// or is about to be, answers the first bytes with a reset; an endpoint begins with the last byte, so that
-/// what is reset before it never ran and may go again, also where nothing may be repeated. It covers all
-/// who close under a request: endpoints, proxies, restarts. It costs each call with a body this long;
-/// farther away than this a reset comes too late to help.
-const LAST_BYTE: Duration = Duration::from_millis(1);
-
-/// Why a request's body did not come whole.
+/// Maximum length of any body: 32 MB, counted as MiB.
+pub const MAX_BODY_BYTES: u64 = 32 << 20;
+/// A response is buffered until it is complete up to this length, in bytes: if it turns out to be invalid
+/// until then, the request can still be sent again.
+pub const MAX_BUFFERED_RESPONSE: usize = 64 * 1024;
+/// A request body is buffered until it is complete up to this length, in bytes, if memory allows. So most
+/// requests are balanced only once their timeout runs, occupy no endpoint connection while they arrive, and
+/// can be sent again.
+const MAX_BUFFERED_REQUEST: usize = 1 << 20;
+/// Buffered bytes are packed into pieces of this length, whatever pieces they arrived in.
+const PIECE_LEN: usize = 64 * 1024;
+/// Memory of a streamed body, in KiB: hyper's buffers on both sides, and a piece between them.
+pub const STREAM_MEMORY_KIB: usize = 192;
+/// A long body that gets no memory within this time is refused.
+const STREAM_MEMORY_TIMEOUT: Duration = Duration::from_secs(2);
+/// The lowest rate at which a well-behaved client writes a body, in bytes per second: 64 kB/s, less a
+/// tolerance for clocks and scheduling.
+const MIN_BODY_RATE: f64 = 56_000.0;
+/// Time that a body has beyond what its bytes earn, counted from the connection's start, or a later
+/// request's first byte: clients that are too slow must get an error or a close within 3 s.
+const INITIAL_BODY_TIME: Duration = Duration::from_millis(2800);
+/// Limit of the time that bytes which arrived faster than the lowest rate can earn in advance.
+const MAX_EARNED_TIME: Duration = Duration::from_secs(2);
+/// Longest pause of an endpoint's response while it is streamed to the client: a response that still makes
+/// progress is not cut off, and one that hangs is not waited for indefinitely.
+const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delay of the last byte of a buffered body behind the rest. A connection that was dropped, or is about to
+/// be, answers the first bytes with a reset. An endpoint starts to process a request at its last byte, so a
+/// request that is reset before it was not processed and may be sent again, even if it is unsafe. This
+/// covers every close under a request: by endpoints, proxies and restarts. It adds this much to each call
+/// with a body; if the endpoint is farther away than this, the reset arrives too late to help.
+const LAST_BYTE_DELAY: Duration = Duration::from_millis(1);
+
+/// Why a request body was not received completely.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Spoilt {
-    /// It broke off, or is framed wrongly.
+pub enum BodyError {
+    /// It was cut off, or is framed incorrectly.
     Broken,
-    /// It is longer than any may be.
+    /// It exceeds `MAX_BODY_BYTES`.
     TooLong,
-    /// Its client fell silent or too slow.
+    /// Its client stopped sending, or is too slow.
     TooSlow,
-    /// Memory was short for too long.
-    NoRoom,
+    /// No memory became available in time.
+    NoMemory,
 }
 
-/// How long a body may still take: only the time that was spent waiting for its peer counts.
-struct Pace {
+/// Deadline of a body. Only the time spent waiting for its sender counts against it.
+struct BodyDeadline {
     due: Instant,
-    /// Since when the peer is waited for.
+    /// Since when the sender has been waited for.
     waiting: Option<Instant>,
-    /// When the wait ended, and something else held the body up.
-    held: Instant,
+    /// When the last wait for the sender ended; the time after it is spent elsewhere.
+    wait_ended: Instant,
 }
 
-impl Pace {
+impl BodyDeadline {
     fn new(start: Instant) -> Self {
-        Pace { due: start + PACE_START, waiting: None, held: Instant::now() }
+        BodyDeadline { due: start + INITIAL_BODY_TIME, waiting: None, wait_ended: Instant::now() }
     }
 
-    fn waits(&mut self) {
+    fn wait_started(&mut self) {
         if self.waiting.is_none() {
             let now = Instant::now();
-            self.due += now - self.held;
+            self.due += now - self.wait_ended;
             self.waiting = Some(now);
         }
     }
 
-    fn came(&mut self, bytes: usize) {
-        self.waits();
+    fn received(&mut self, bytes: usize) {
+        self.wait_started();
         let now = Instant::now();
-        let earned = self.due + Duration::from_secs_f64(bytes as f64 / RATE_LEAST);
-        self.due = self.due.max(earned.min(now + PACE_SAVED));
-        (self.waiting, self.held) = (None, now);
+        let earned = self.due + Duration::from_secs_f64(bytes as f64 / MIN_BODY_RATE);
+        self.due = self.due.max(earned.min(now + MAX_EARNED_TIME));
+        (self.waiting, self.wait_ended) = (None, now);
     }
 }
 
-/// The rest of a request's body, as it comes from the client, and what of it has been kept.
-pub struct Upload {
+/// The rest of a request body as it arrives from the client, and the beginning that has been buffered.
+pub struct StreamingUpload {
     source: RefCell<Source>,
-    /// What came first, to be sent, and sent again while that is all that was sent.
-    kept: RefCell<Vec<Bytes>>,
-    memory: RefCell<Vec<Memory>>,
-    _flow: Memory,
-    /// The length that its client states.
-    stated: Option<u64>,
-    /// More than what is kept has gone to an endpoint, and can't be had again.
-    flows: Cell<bool>,
-    ended: Cell<Option<Result<(), Spoilt>>>,
-    /// Woken when it begins to flow and when it ends.
+    /// The beginning; it can be sent, and sent again as long as nothing beyond it has been sent.
+    buffered: RefCell<Vec<Bytes>>,
+    buffer_memory: RefCell<Vec<Memory>>,
+    _memory: Memory,
+    /// The length stated by the client.
+    stated_length: Option<u64>,
+    /// Reading has gone beyond the buffered beginning, which has been dropped: the body can't be sent
+    /// again.
+    is_streaming: Cell<bool>,
+    ended: Cell<Option<Result<(), BodyError>>>,
+    /// Woken when streaming starts and when the body ends.
     watcher: RefCell<Option<Waker>>,
 }
 
 struct Source {
     body: Incoming,
-    pace: Pace,
+    deadline: BodyDeadline,
     timer: Option<Pin<Box<Sleep>>>,
     length: u64,
 }
 
 impl Source {
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Spoilt>>> {
+    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Ready(None) => return Poll::Ready(None),
-                Poll::Ready(Some(Err(_))) => return Poll::Ready(Some(Err(Spoilt::Broken))),
+                Poll::Ready(Some(Err(_))) => return Poll::Ready(Some(Err(BodyError::Broken))),
                 Poll::Ready(Some(Ok(frame))) => {
-                    let Ok(data) = frame.into_data() else { continue }; // trailers go no further
+                    let Ok(data) = frame.into_data() else { continue }; // trailers are not forwarded
                     self.length += data.len() as u64;
-                    self.pace.came(data.len());
-                    if self.length > BODY_MOST {
-                        return Poll::Ready(Some(Err(Spoilt::TooLong)));
+                    self.deadline.received(data.len());
+                    if self.length > MAX_BODY_BYTES {
+                        return Poll::Ready(Some(Err(BodyError::TooLong)));
                     }
                     return Poll::Ready(Some(Ok(data)));
                 }
                 Poll::Pending => {
-                    self.pace.waits();
+                    self.deadline.wait_started();
                     let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(Duration::ZERO)));
-                    timer.as_mut().reset(self.pace.due);
+                    timer.as_mut().reset(self.deadline.due);
                     ready!(timer.as_mut().poll(cx));
-                    return Poll::Ready(Some(Err(Spoilt::TooSlow)));
+                    return Poll::Ready(Some(Err(BodyError::TooSlow)));
                 }
             }
         }
     }
 }
 
-/// A whole body, and the memory that it takes.
+/// A complete body, and its memory.
 #[derive(Default)]
-pub struct Kept {
+pub struct BufferedBody {
     pieces: Vec<Bytes>,
     _memory: Vec<Memory>,
 }
 
-/// A request's body as far as it is here.
-pub enum Came {
+/// A request body as far as it has been received.
+pub enum ReceivedBody {
     /// All of it.
-    Whole(Rc<Kept>),
+    Buffered(Rc<BufferedBody>),
     /// The beginning of a long one.
-    Long(Rc<Upload>),
+    Streaming(Rc<StreamingUpload>),
 }
 
-/// Takes in a request's body until it is whole, or as much of it as may be kept. `start` is when its
+/// Receives a request body until it is complete, or as much of it as may be buffered. `start` is when the
 /// client's time began.
-pub async fn take_in(body: Incoming, start: Instant, budget: &Rc<Budget>) -> Result<Came, Spoilt> {
+pub async fn receive_body(
+    body: Incoming,
+    start: Instant,
+    budget: &Rc<Budget>,
+) -> Result<ReceivedBody, BodyError> {
     let hint = body.size_hint();
-    let mut source = Source { pace: Pace::new(start), body, timer: None, length: 0 };
-    let (mut kept, mut memory): (Vec<Vec<u8>>, Vec<Memory>) = Default::default();
+    let mut source = Source { deadline: BodyDeadline::new(start), body, timer: None, length: 0 };
+    let (mut buffered, mut memory): (Vec<Vec<u8>>, Vec<Memory>) = Default::default();
     loop {
         let data = match poll_fn(|cx| source.poll(cx)).await {
             None => {
-                let pieces = kept.into_iter().map(Bytes::from).collect();
-                return Ok(Came::Whole(Rc::new(Kept { pieces, _memory: memory })));
+                let pieces = buffered.into_iter().map(Bytes::from).collect();
+                return Ok(ReceivedBody::Buffered(Rc::new(BufferedBody { pieces, _memory: memory })));
             }
             Some(data) => data?,
         };
         let mut data = &data[..];
         while !data.is_empty() {
-            if kept.last().is_none_or(|piece| piece.len() >= PIECE) {
-                // The first piece is part of what every client may take.
-                if !kept.is_empty() {
-                    memory.extend(budget.try_buffer_memory(PIECE / 1024));
+            if buffered.last().is_none_or(|piece| piece.len() >= PIECE_LEN) {
+                // The first piece is part of the memory that every client may take (`KIB_PER_CLIENT`).
+                if !buffered.is_empty() {
+                    memory.extend(budget.try_buffer_memory(PIECE_LEN / 1024));
                 }
-                kept.push(Vec::new());
+                buffered.push(Vec::new());
             }
-            let Some(piece) = kept.last_mut() else { continue };
-            let (now, later) = data.split_at(data.len().min(PIECE - piece.len()));
+            let Some(piece) = buffered.last_mut() else { continue };
+            let (now, later) = data.split_at(data.len().min(PIECE_LEN - piece.len()));
             piece.extend_from_slice(now);
             data = later;
         }
-        let length = kept.iter().map(Vec::len).sum::<usize>();
-        if length > REQUEST_WHOLE_MOST || memory.len() + 1 < kept.len() {
+        let length = buffered.iter().map(Vec::len).sum::<usize>();
+        if length > MAX_BUFFERED_REQUEST || memory.len() + 1 < buffered.len() {
             break;
         }
     }
-    // What flows takes buffers on both sides. Where others have them all, this client waits for its turn:
-    // its time has not begun to run.
-    let flow = timeout(FLOW_WAIT, budget.stream_memory(FLOW_KIB)).await.map_err(|_| Spoilt::NoRoom)?;
-    Ok(Came::Long(Rc::new(Upload {
+    // Streaming needs buffers on both sides. If others hold all of them, this client waits: its timeout
+    // does not run yet.
+    let stream_memory = timeout(STREAM_MEMORY_TIMEOUT, budget.stream_memory(STREAM_MEMORY_KIB))
+        .await
+        .map_err(|_| BodyError::NoMemory)?;
+    Ok(ReceivedBody::Streaming(Rc::new(StreamingUpload {
         source: RefCell::new(source),
-        kept: RefCell::new(kept.into_iter().map(Bytes::from).collect()),
-        memory: RefCell::new(memory),
-        _flow: flow,
-        stated: hint.exact(),
-        flows: Cell::new(false),
+        buffered: RefCell::new(buffered.into_iter().map(Bytes::from).collect()),
+        buffer_memory: RefCell::new(memory),
+        _memory: stream_memory,
+        stated_length: hint.exact(),
+        is_streaming: Cell::new(false),
         ended: Cell::new(None),
         watcher: RefCell::default(),
     })))
 }
 
-impl Upload {
-    /// Whether it can't be sent from its beginning any more.
-    pub fn flows(&self) -> bool {
-        self.flows.get()
+impl StreamingUpload {
+    /// Whether it can no longer be sent from its beginning.
+    pub fn is_streaming(&self) -> bool {
+        self.is_streaming.get()
     }
 
-    /// Waits until it flows.
-    pub async fn flowing(&self) {
-        self.until(|| self.flows.get().then_some(())).await;
+    /// Waits until streaming starts.
+    pub async fn streaming_started(&self) {
+        self.until(|| self.is_streaming.get().then_some(())).await;
     }
 
-    /// Waits for its end.
-    pub async fn end(&self) -> Result<(), Spoilt> {
+    /// Waits until it is complete or has failed.
+    pub async fn end(&self) -> Result<(), BodyError> {
         self.until(|| self.ended.get()).await
     }
 
@@ -231,35 +239,35 @@
         .await
     }
 
-    /// Its client may still be writing, though nobody wants the rest: reads it, so that the client comes to
-    /// read its answer. Ends as any body does.
+    /// Reads and drops the rest of a body that no endpoint needs any more: the client may still be writing,
+    /// and reads its response only after that. Ends as for any other body.
     pub async fn discard(&self) {
         while self.ended.get().is_none() {
             let _ = poll_fn(|cx| self.poll_rest(cx)).await;
         }
     }
 
-    fn poll_rest(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Spoilt>>> {
+    fn poll_rest(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         if let Some(ended) = self.ended.get() {
             return Poll::Ready(ended.err().map(Err));
         }
-        if !self.flows.replace(true) {
-            self.kept.take();
-            self.memory.take();
+        if !self.is_streaming.replace(true) {
+            self.buffered.take();
+            self.buffer_memory.take();
             self.wake();
         }
         let polled = ready!(self.source.borrow_mut().poll(cx));
-        let whole = self.stated.is_some_and(|stated| self.source.borrow().length >= stated);
+        let is_complete = self.stated_length.is_some_and(|stated| self.source.borrow().length >= stated);
         match &polled {
-            None => self.ends(Ok(())),
-            Some(Err(spoilt)) => self.ends(Err(*spoilt)),
-            Some(Ok(_)) if whole => self.ends(Ok(())),
+            None => self.set_ended(Ok(())),
+            Some(Err(error)) => self.set_ended(Err(*error)),
+            Some(Ok(_)) if is_complete => self.set_ended(Ok(())),
             Some(Ok(_)) => {}
         }
         Poll::Ready(polled)
     }
 
-    fn ends(&self, end: Result<(), Spoilt>) {
+    fn set_ended(&self, end: Result<(), BodyError>) {
         self.ended.set(Some(end));
         self.wake();
     }
@@ -269,82 +277,90 @@
     }
 }
 
-/// A request's body for an endpoint.
+/// A request body that is to be sent to an endpoint.
 #[derive(Clone)]
 pub enum RequestBody {
-    /// All of it is here.
-    Buffered(Rc<Kept>),
-    /// It still comes.
-    Streaming(Rc<Upload>),
+    /// It is complete.
+    Buffered(Rc<BufferedBody>),
+    /// It is still being received.
+    Streaming(Rc<StreamingUpload>),
 }
 
 impl RequestBody {
-    /// None at all, for what has no body.
+    /// No body.
     pub fn empty() -> Self {
         RequestBody::Buffered(Rc::default())
     }
 
-    /// Whether its beginning is gone.
-    pub fn is_spent(&self) -> bool {
-        matches!(self, RequestBody::Streaming(upload) if upload.flows())
+    /// Whether its beginning is no longer available.
+    pub fn is_beginning_lost(&self) -> bool {
+        matches!(self, RequestBody::Streaming(upload) if upload.is_streaming())
     }
 
-    /// The beginning, and the length where it is known.
-    fn kept(&self) -> (Vec<Bytes>, Option<u64>) {
+    /// The buffered beginning, and the total length if it is known.
+    fn buffered(&self) -> (Vec<Bytes>, Option<u64>) {
         match self {
-            RequestBody::Buffered(kept) => {
-                let length = kept.pieces.iter().map(|piece| piece.len() as u64).sum();
-                (kept.pieces.clone(), Some(length))
+            RequestBody::Buffered(body) => {
+                let length = body.pieces.iter().map(|piece| piece.len() as u64).sum();
+                (body.pieces.clone(), Some(length))
             }
-            RequestBody::Streaming(upload) => (upload.kept.borrow().clone(), upload.stated),
+            RequestBody::Streaming(upload) => (upload.buffered.borrow().clone(), upload.stated_length),
         }
     }
 }
 
-/// A request's body on its way to an endpoint.
-pub struct Sending {
+/// A request body that is being sent to an endpoint.
+pub struct OutgoingBody {
     pieces: VecDeque<Bytes>,
-    rest: Option<Rc<Upload>>,
+    rest: Option<Rc<StreamingUpload>>,
     length: Option<u64>,
     sent: u64,
     wait: Option<Pin<Box<Sleep>>>,
-    /// Set as the last byte goes.
-    whole: Rc<Cell<bool>>,
-    /// Counts the attempt then.
-    heard: Rc<Heard>,
+    /// Set as the last byte is handed over.
+    fully_sent: Rc<Cell<bool>>,
+    /// Records the attempt in the metrics at that time.
+    monitor: Rc<SocketMonitor>,
     metrics: Option<Rc<Metrics>>,
 }
 
-impl Sending {
-    /// From its beginning.
+impl OutgoingBody {
+    /// Sends the body from its beginning.
     pub fn new(
-        payload: &RequestBody,
-        whole: Rc<Cell<bool>>,
-        heard: Rc<Heard>,
+        request_body: &RequestBody,
+        fully_sent: Rc<Cell<bool>>,
+        monitor: Rc<SocketMonitor>,
         metrics: Option<Rc<Metrics>>,
     ) -> Self {
-        let (pieces, length) = payload.kept();
-        let rest = match payload {
+        let (pieces, length) = request_body.buffered();
+        let rest = match request_body {
             RequestBody::Buffered(..) => None,
             RequestBody::Streaming(upload) => Some(upload.clone()),
         };
-        let mut sending =
-            Sending { pieces: pieces.into(), rest, length, sent: 0, wait: None, whole, heard, metrics };
-        // What has no body is whole with its head.
-        if sending.is_end_stream() {
-            sending.completed();
+        let mut body = OutgoingBody {
+            pieces: pieces.into(),
+            rest,
+            length,
+            sent: 0,
+            wait: None,
+            fully_sent,
+            monitor,
+            metrics,
+        };
+        // Without a body the request is complete with its head.
+        if body.is_end_stream() {
+            body.completed();
         }
-        sending
+        body
     }
 
     fn completed(&mut self) {
-        self.whole.set(true);
+        self.fully_sent.set(true);
         if let Some(metrics) = self.metrics.take() {
-            self.heard.count_written(metrics);
+            self.monitor.count_when_written(metrics);
         }
     }
 
-    fn gives(&mut self, data: Bytes) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+    fn send_piece(&mut self, data: Bytes) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         self.sent += data.len() as u64;
         if self.length.is_some_and(|length| self.sent >= length) {
             self.completed();
@@ -353,7 +369,7 @@
     }
 }
 
-impl Body for Sending {
+impl Body for OutgoingBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -364,11 +380,11 @@
         let this = &mut *self;
         if let Some(upload) = &this.rest {
             if let Some(piece) = this.pieces.pop_front() {
-                return this.gives(piece);
+                return this.send_piece(piece);
             }
             return match ready!(upload.clone().poll_rest(cx)) {
-                Some(Ok(data)) => this.gives(data),
-                Some(Err(spoilt)) => Poll::Ready(Some(Err(io::Error::other(format!("{spoilt:?}"))))),
+                Some(Ok(data)) => this.send_piece(data),
+                Some(Err(error)) => Poll::Ready(Some(Err(io::Error::other(format!("{error:?}"))))),
                 None => {
                     this.completed();
                     Poll::Ready(None)
@@ -379,17 +395,17 @@
         match this.pieces.front_mut() {
             None => Poll::Ready(None),
             Some(piece) if last && piece.len() > 1 => {
-                this.wait = Some(Box::pin(sleep(LAST_BYTE)));
+                this.wait = Some(Box::pin(sleep(LAST_BYTE_DELAY)));
                 let most = piece.split_to(piece.len() - 1);
-                this.gives(most)
+                this.send_piece(most)
             }
             Some(_) => {
                 if last {
-                    let wait = this.wait.get_or_insert_with(|| Box::pin(sleep(LAST_BYTE)));
+                    let wait = this.wait.get_or_insert_with(|| Box::pin(sleep(LAST_BYTE_DELAY)));
                     ready!(wait.as_mut().poll(cx));
                 }
                 let piece = this.pieces.pop_front().unwrap_or_default();
-                this.gives(piece)
+                this.send_piece(piece)
             }
         }
     }
@@ -403,79 +419,89 @@
     }
 }
 
-/// An endpoint's answer, long, as it flows on.
-pub struct Flow {
+/// A long response of an endpoint that is streamed to the client.
+pub struct StreamingResponse {
     first: VecDeque<Bytes>,
     rest: Incoming,
     length: u64,
-    pause: Option<Pin<Box<Sleep>>>,
-    /// Called once the answer has ended: its connection is then of further use. Dropped uncalled, it closes.
-    parking: Option<Box<dyn FnOnce()>>,
+    stall_timer: Option<Pin<Box<Sleep>>>,
+    /// Called once the response is complete: its connection can then be reused. If it is dropped uncalled,
+    /// the connection closes.
+    on_complete: Option<Box<dyn FnOnce()>>,
     _memory: Memory,
 }
 
-impl Flow {
-    /// It has begun with this; the rest is to come.
-    pub fn new(first: Vec<Bytes>, rest: Incoming, parking: Box<dyn FnOnce()>, memory: Memory) -> Self {
+impl StreamingResponse {
+    /// A response of which `first` has been received and `rest` is to be read.
+    pub fn new(first: Vec<Bytes>, rest: Incoming, on_complete: Box<dyn FnOnce()>, memory: Memory) -> Self {
         let first = first.into();
-        Flow { first, rest, length: 0, pause: None, parking: Some(parking), _memory: memory }
+        StreamingResponse {
+            first,
+            rest,
+            length: 0,
+            stall_timer: None,
+            on_complete: Some(on_complete),
+            _memory: memory,
+        }
     }
 
-    /// Its length, where the endpoint has stated it.
+    /// Its length, if the endpoint has stated it.
     pub fn size_hint(&self) -> SizeHint {
         let first: u64 = self.first.iter().map(|piece| piece.len() as u64).sum();
         self.rest.size_hint().exact().map_or_else(SizeHint::new, |rest| SizeHint::with_exact(first + rest))
     }
 
-    /// Whether it has come to its end.
-    pub fn is_over(&self) -> bool {
-        self.parking.is_none()
+    /// Whether it is complete.
+    pub fn is_complete(&self) -> bool {
+        self.on_complete.is_none()
     }
 
-    /// The next piece. An error cuts the client's connection off, so that the client can tell.
+    /// Polls for the next piece. After an error the client connection is reset, so that the client can tell
+    /// that the response is incomplete.
     pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         loop {
             if let Some(piece) = self.first.pop_front() {
                 self.length += piece.len() as u64;
                 if self.first.is_empty() && self.rest.is_end_stream() {
-                    self.over();
+                    self.complete();
                 }
                 return Poll::Ready(Some(Ok(piece)));
             }
             match Pin::new(&mut self.rest).poll_frame(cx) {
                 Poll::Ready(None) => {
-                    self.over();
+                    self.complete();
                     return Poll::Ready(None);
                 }
                 Poll::Ready(Some(Err(e))) => return Poll::Ready(Some(Err(io::Error::other(e)))),
                 Poll::Ready(Some(Ok(frame))) => {
-                    self.pause = None;
-                    let Ok(data) = frame.into_data() else { continue }; // trailers go no further
-                    if self.length + data.len() as u64 > BODY_MOST {
-                        return Poll::Ready(Some(Err(io::Error::other("too long"))));
+                    self.stall_timer = None;
+                    let Ok(data) = frame.into_data() else { continue }; // trailers are not forwarded
+                    if self.length + data.len() as u64 > MAX_BODY_BYTES {
+                        return Poll::Ready(Some(Err(io::Error::other("response body too long"))));
                     }
                     self.first.push_back(data);
                 }
                 Poll::Pending => {
-                    let pause = self.pause.get_or_insert_with(|| Box::pin(sleep(FLOW_PAUSE)));
-                    ready!(pause.as_mut().poll(cx));
+                    let timer =
+                        self.stall_timer.get_or_insert_with(|| Box::pin(sleep(STREAM_STALL_TIMEOUT)));
+                    ready!(timer.as_mut().poll(cx));
                     return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
                 }
             }
         }
     }
 
-    fn over(&mut self) {
-        if let Some(parking) = self.parking.take() {
-            parking();
+    fn complete(&mut self) {
+        if let Some(on_complete) = self.on_complete.take() {
+            on_complete();
         }
     }
 }
 
-/// The body of an endpoint's answer.
+/// The body of an endpoint's response.
 pub enum ResponseBody {
-    /// All of it is here.
+    /// It is complete.
     Buffered(Bytes),
-    /// It still comes.
-    Streaming(Box<Flow>),
+    /// It is still being received.
+    Streaming(Box<StreamingResponse>),
 }
--- a/crates/runtime/src/time_left.rs
+++ b/crates/runtime/src/time_left.rs
@@ -1,12 +1,12 @@
-//! The remaining time of a client's deadline, as an endpoint is told it. It is read when the request is about to be
-//! written, not when the attempt starts, so that it does not include the wait for a connection.
+//! The remaining time of a client's deadline, as it is sent to an endpoint. It is read when the request is
+//! about to be written, not when the attempt starts, so that it does not include the wait for a connection.
 
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// A request is written within this of reading its remaining time, or not at all: the standing test grants 0.15 s of
-/// slack.
+/// A request is written within this of reading its remaining time, or not at all: the standing test grants
+/// 0.15 s of slack.
 pub const MAX_WRITE_DELAY: Duration = Duration::from_millis(100);
 
 /// The attempt's own limit.
@@ -27,12 +27,13 @@
 }
 
 impl TimeLeft {
-    /// Of an attempt that ends then at the latest.
+    /// The remaining time of an attempt that ends at `until` at the latest.
     pub fn until(deadline: watch::Receiver<Instant>, until: Instant) -> Self {
         TimeLeft { deadline, limit: AttemptLimit::Until(until) }
     }
 
-    /// Of an attempt whose request body is still being received, and that has this long after the last byte.
+    /// The remaining time of an attempt whose request body is still being received, and that has `time`
+    /// after the last byte.
     pub fn after_body(deadline: watch::Receiver<Instant>, time: Duration) -> Self {
         TimeLeft { deadline, limit: AttemptLimit::AfterBody(time) }
     }
--- a/crates/runtime/src/write_gate.rs
+++ b/crates/runtime/src/write_gate.rs
@@ -1,5 +1,5 @@
-//! What must still hold when the first byte of a request is written, as far as it concerns the endpoint list: the endpoint
-//! is admitted at its address, and the list that it was chosen from may be used.
+//! The endpoint list's conditions for writing the first byte of a request: the endpoint is admitted at its
+//! address, and the lease of the list that it was chosen from has not expired.
 
 use curlewhub_balance::EndpointId;
 use std::cell::{Cell, RefCell};
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-/// The endpoints that something new may be written to, and until when the list that names them may be used.
+/// The endpoints that new requests may be written to, and the lease of the list that names them.
 #[derive(Default)]
 pub(crate) struct WriteGate {
     admitted: RefCell<HashMap<EndpointId, SocketAddr>>,
@@ -41,7 +41,7 @@
         self.admitted.borrow().len()
     }
 
-    /// From then on no request may begin by the list that is held; none while nothing bounds its use.
+    /// Sets when the list lease expires; no request may be started after that. None if it is unlimited.
     pub fn set_list_lease(&self, expires: Option<Instant>) {
         self.list_lease.set(expires);
         self.changed.notify_waiters();
@@ -53,10 +53,10 @@
             && self.list_lease.get().is_none_or(|expires| Instant::now() < expires)
     }
 
-    /// Ends once no request may be written to an endpoint at this address any more.
+    /// Returns once no request may be written to an endpoint at this address any more.
     pub async fn closed(&self, endpoint: EndpointId, address: SocketAddr) {
         loop {
-            // Registered before the look, so that no change falls between the two.
+            // Registered before the check, so that no change between the two is missed.
             let mut changed = pin!(self.changed.notified());
             changed.as_mut().enable();
             if !self.is_open(endpoint, address) {
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Ends once an endpoint is no longer admitted at this address, whatever the list's lease.
-    pub async fn left(&self, endpoint: EndpointId, address: SocketAddr) {
+    /// Returns once an endpoint is no longer admitted at this address, whatever the list's lease.
+    pub async fn not_admitted(&self, endpoint: EndpointId, address: SocketAddr) {
         loop {
             let mut changed = pin!(self.changed.notified());
             changed.as_mut().enable();
