--- a/crates/runtime/src/connect.rs
+++ b/crates/runtime/src/connect.rs
@@ -1,4 +1,5 @@
-//! Opening a connection to an endpoint, and classifying a failure: whether the endpoint or this machine is at fault.
+//! Opening a connection to an endpoint, and classifying a failure: whether the endpoint or this machine is
+//! at fault.
 
 use super::interrupts::uninterrupted_async;
 use curlewhub_balance::EndpointId;
@@ -10,8 +11,8 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Up to this many consecutive route faults of one endpoint count as local; further ones only if more than half of all
-/// endpoints have route faults.
+/// Up to this many consecutive route faults of one endpoint count as local; further ones only if more than
+/// half of all endpoints have route faults.
 const MAX_LOCAL_FAULTS: u32 = 2;
 
 /// Why a connection could not be opened.
@@ -20,8 +21,8 @@
     /// This machine lacks a resource: descriptors, memory, buffers. It says nothing about the endpoint.
     #[error("this machine can open no connection now: {0}")]
     Resources(#[source] io::Error),
-    /// This machine has no port or no route at the moment. A lasting one may be a fault of the endpoint's address alone:
-    /// see [`RouteFaults`].
+    /// This machine has no port or no route at the moment. A lasting one may be a fault of the endpoint's
+    /// address alone: see [`RouteFaults`].
     #[error("this machine has no route to the endpoint now: {0}")]
     Route(#[source] io::Error),
     /// The endpoint's machine refused the connection.
@@ -57,7 +58,8 @@
     )
 }
 
-/// Whether a call failed for lack of descriptors or memory, which closing a connection of our own would give back.
+/// Whether a call failed for lack of descriptors or memory, which closing a connection of our own would
+/// give back.
 pub fn lacks_resources(error: &io::Error) -> bool {
     is_local(error) && Errno::from_io_error(error) != Some(Errno::INTR)
 }
@@ -81,8 +83,9 @@
     faults: u32,
 }
 
-/// Distinguishes route faults of one endpoint from local ones, which affect all. It has an entry for each endpoint whose
-/// last connection attempt ended in a route fault, and for no other. Times are on one monotonic clock of the caller.
+/// Distinguishes route faults of one endpoint from local ones, which affect all. It has an entry for each
+/// endpoint whose last connection attempt ended in a route fault, and for no other. Times are on one
+/// monotonic clock of the caller.
 #[derive(Debug, Default)]
 pub struct RouteFaults {
     streaks: HashMap<EndpointId, Streak>,
@@ -97,8 +100,9 @@
         self.streaks.remove(&endpoint);
     }
 
-    /// Records a route fault of one of `listed` endpoints. Returns whether it counts as local: not if any endpoint was
-    /// reached since this one's first fault, nor if it lasts while at least half of the endpoints have none.
+    /// Records a route fault of one of `listed` endpoints. Returns whether it counts as local: not if any
+    /// endpoint was reached since this one's first fault, nor if it lasts while at least half of the
+    /// endpoints have none.
     pub fn is_local(&mut self, now: Duration, endpoint: EndpointId, listed: usize) -> bool {
         let streak = self.streaks.entry(endpoint).or_insert(Streak { since: now, faults: 0 });
         streak.faults = streak.faults.saturating_add(1);
--- a/crates/runtime/src/interrupts.rs
+++ b/crates/runtime/src/interrupts.rs
@@ -1,5 +1,5 @@
-//! Retries of system calls that a signal has interrupted (`EINTR`): they have transferred nothing, and say nothing about
-//! the other end of a connection. Neither hyper nor tokio retries them.
+//! Retries of system calls that a signal has interrupted (`EINTR`): they have transferred nothing, and say
+//! nothing about the other end of a connection. Neither hyper nor tokio retries them.
 
 use std::io::{self, ErrorKind, IoSlice};
 use std::pin::Pin;
@@ -7,11 +7,13 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpStream, UnixStream};
 
-/// Maximum retries of one call, so that no call blocks the whole process. Signals never arrive in such numbers.
+/// Maximum retries of one call, so that no call blocks the whole process. Signals never arrive in such
+/// numbers.
 const MAX_RETRIES: usize = 100;
 
-/// Whether a call on a non-blocking socket transferred nothing and is to be retried: it was interrupted, or the socket is
-/// not ready. A caller that awaits readiness before the retry yields to other tasks from time to time.
+/// Whether a call on a non-blocking socket transferred nothing and is to be retried: it was interrupted, or
+/// the socket is not ready. A caller that awaits readiness before the retry yields to other tasks from time
+/// to time.
 pub fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock)
 }
@@ -87,8 +89,8 @@
 stream_socket!(TcpStream);
 stream_socket!(UnixStream);
 
-/// A stream whose interrupted reads and writes are retried. Unlike with tokio's own streams, a short read or write does
-/// not imply that the kernel's buffer is empty or full.
+/// A stream whose interrupted reads and writes are retried. Unlike with tokio's own streams, a short read
+/// or write does not imply that the kernel's buffer is empty or full.
 pub struct Uninterrupted<S>(pub S);
 
 impl<S: StreamSocket> AsyncRead for Uninterrupted<S> {
