--- a/crates/runtime/src/attempt_terms.rs
+++ b/crates/runtime/src/attempt_terms.rs
@@ -1,6 +1,6 @@
 //! How far an attempt has progressed, and the conditions under which its first byte may be written.
 
-use super::events::Client;
+use super::events::ClientStatus;
 use super::time_left::TimeLeft;
 use curlewhub_balance::Outcome;
 use std::cell::Cell;
@@ -21,7 +21,7 @@
 #[derive(Clone)]
 pub struct WriteConditions {
     /// The client must still be connected.
-    pub client: Client,
+    pub client: ClientStatus,
     /// A repeat of a request that may have been processed must begin before this; none if no earlier
     /// attempt may have been.
     pub begin_by: Option<Instant>,
@@ -32,13 +32,13 @@
 impl WriteConditions {
     /// Whether they hold now.
     pub(super) fn hold(&self) -> bool {
-        !self.client.has_gone() && self.begin_by.is_none_or(|by| Instant::now() < by)
+        !self.client.is_disconnected() && self.begin_by.is_none_or(|by| Instant::now() < by)
     }
 
     /// Returns once they no longer hold.
     pub(super) async fn violated(&self) {
         tokio::select! {
-            () = self.client.gone() => {}
+            () = self.client.disconnected() => {}
             () = sleep_until(self.begin_by.unwrap_or_else(Instant::now)), if self.begin_by.is_some() => {}
         }
     }
--- a/crates/runtime/src/outbound.rs
+++ b/crates/runtime/src/outbound.rs
@@ -4,7 +4,7 @@
 use super::attempt_terms::{AttemptProgress, WriteConditions};
 use super::budget::{Budget, Holder, Permit};
 use super::connect::{ConnectError, RouteFaults, connect};
-use super::events::{Ended, tell_time_left};
+use super::events::{AttemptResult, set_timeout_header};
 use super::figures::Metrics;
 use super::guard::AbortOnDrop;
 use super::load_report::LoadReportReader;
@@ -165,7 +165,7 @@
         address: SocketAddr,
         mut request: Request<RequestBody>,
         progress: &AttemptProgress,
-    ) -> Ended {
+    ) -> AttemptResult {
         // An informational (1xx) response does not tell when the final one will arrive.
         let informational = Arc::new(AtomicBool::new(false));
         let seen = informational.clone();
@@ -181,17 +181,17 @@
             let (mut connection, is_new) = match acquired {
                 Ok(acquired) => acquired,
                 Err(AcquireError::RetryPool) => continue,
-                Err(AcquireError::Failed(outcome)) => return Ended::bare(outcome),
+                Err(AcquireError::Failed(outcome)) => return AttemptResult::from_outcome(outcome),
             };
             // An idle connection may turn out to be closed only now.
             if !matches!(timeout(self.connect_timeout, connection.sender.ready()).await, Ok(Ok(()))) {
                 if is_new {
-                    return Ended::bare(Outcome::ConnectFailed);
+                    return AttemptResult::from_outcome(Outcome::ConnectFailed);
                 }
                 continue;
             }
             if request.body().is_beginning_lost() {
-                return Ended::bare(Outcome::ConnectFailed); // its beginning can't be sent again
+                return AttemptResult::from_outcome(Outcome::ConnectFailed); // its beginning can't be sent again
             }
             let (monitor, fully_sent) = (connection.monitor.clone(), progress.fully_sent.clone());
             fully_sent.set(false);
@@ -200,9 +200,9 @@
             if let Some(conditions) = &progress.conditions {
                 let left = conditions.time_left.at(read_at);
                 if left.is_zero() {
-                    return Ended::bare(progress.timeout_outcome());
+                    return AttemptResult::from_outcome(progress.timeout_outcome());
                 }
-                tell_time_left(request.headers_mut(), left);
+                set_timeout_header(request.headers_mut(), left);
             }
             let metrics = progress.conditions.as_ref().map(|_| self.metrics.clone());
             let request =
@@ -248,14 +248,14 @@
             }
             if connection.monitor.write_rejected() {
                 progress.fully_sent.set(false);
-                return Ended::bare(Outcome::NotSent);
+                return AttemptResult::from_outcome(Outcome::NotSent);
             }
             match (read, progress.fully_sent.get(), is_new) {
                 (Some(ReadResponse::Complete(outcome, body)), fully_sent, _) => {
                     if fully_sent && !connection.sender.is_closed() {
                         self.release(endpoint, connection);
                     }
-                    return Ended { outcome, body: ResponseBody::Buffered(body), report };
+                    return AttemptResult { outcome, body: ResponseBody::Buffered(body), report };
                 }
                 (Some(ReadResponse::Streaming(first, rest)), fully_sent, _) => {
                     let memory = self.budget.stream_memory(STREAM_MEMORY_KIB).await;
@@ -272,13 +272,13 @@
                         on_complete,
                         memory,
                     )));
-                    return Ended { outcome: Outcome::Ok, body, report };
+                    return AttemptResult { outcome: Outcome::Ok, body, report };
                 }
-                (None, true, _) => return Ended::bare(Outcome::Reset),
+                (None, true, _) => return AttemptResult::from_outcome(Outcome::Reset),
                 (None, false, true) if connection.monitor.failed_locally() => {
-                    return Ended::bare(Outcome::LocalFault);
+                    return AttemptResult::from_outcome(Outcome::LocalFault);
                 }
-                (None, false, true) => return Ended::bare(Outcome::ConnectFailed),
+                (None, false, true) => return AttemptResult::from_outcome(Outcome::ConnectFailed),
                 // A stale pooled connection says nothing about its endpoint: retry on another one.
                 (None, false, false) => {}
             }
@@ -342,18 +342,22 @@
     }
 
     /// Asks an endpoint for its load.
-    pub async fn probe(self: &Rc<Self>, endpoint: EndpointId, address: SocketAddr) -> Ended {
+    pub async fn probe(self: &Rc<Self>, endpoint: EndpointId, address: SocketAddr) -> AttemptResult {
         let request = Request::get("/-/load").header(header::HOST, address.to_string());
-        let Ok(request) = request.body(RequestBody::empty()) else { return Ended::bare(Outcome::Error) };
+        let Ok(request) = request.body(RequestBody::empty()) else {
+            return AttemptResult::from_outcome(Outcome::Error);
+        };
         let progress = AttemptProgress::for_probe();
         match timeout(PROBE_TIMEOUT, self.attempt(endpoint, address, request, &progress)).await {
             Ok(mut ended) => {
-                let ResponseBody::Buffered(body) = &ended.body else { return Ended::bare(Outcome::Error) };
+                let ResponseBody::Buffered(body) = &ended.body else {
+                    return AttemptResult::from_outcome(Outcome::Error);
+                };
                 let in_body = std::str::from_utf8(body).ok().and_then(|text| self.load_reports.read(text));
                 ended.report = in_body.or(ended.report);
                 ended
             }
-            Err(_) => Ended::bare(progress.timeout_outcome()),
+            Err(_) => AttemptResult::from_outcome(progress.timeout_outcome()),
         }
     }
 
