--- a/crates/balance/src/balance/attempts.rs
+++ b/crates/balance/src/balance/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Retry tokens earned by each new request; all tiers retry, so their product must stay near one.
+/// Retry tokens earned by each new request; all tiers retry: the product over them must stay near one.
 const RETRY_TOKENS_EARNED: f64 = 0.2;
 /// An answer may never come once it takes this many mean deviations longer than the mean ...
 const MISSING_SPREADS: f64 = 8.0;
@@ -132,7 +132,7 @@
         let Some(pending) = self.requests.get_mut(&id) else { return };
         let mut idle = endpoint.last_answer_at.map_or(Duration::ZERO, |at| now.saturating_sub(at));
         if missing && idle >= self.idle_drop_after {
-            // Something on the path drops idle connections silently; a handshake costs less than a call.
+            // The path may drop idle connections silently; a handshake costs less than a lost call.
             out.push(Action::CloseIdle { endpoint: endpoint.info.id });
             endpoint.last_answer_at = None;
             idle = Duration::ZERO;
@@ -228,7 +228,7 @@
             self.finish(id, out);
         }
         let undecided = self.requests.get(&id).is_some_and(|p| !p.settled() && p.none_in_flight());
-        // Neither an attempt withdrawn before its first byte nor a local fault puts load on an endpoint.
+        // An attempt withdrawn before its first byte is no retry, and a local fault loads no endpoint.
         let cost = if matches!(ended.outcome, Outcome::NotSent | Outcome::LocalFault) { 0.0 } else { 1.0 };
         if undecided && self.retry_tokens >= cost && self.may_retry(now, id) {
             self.retry_tokens -= cost;
--- a/crates/balance/src/stats.rs
+++ b/crates/balance/src/stats.rs
@@ -9,9 +9,9 @@
 pub(crate) const MIN_LATENCY_SAMPLES: u32 = 20;
 /// Weight of one further latency in the running mean.
 const LATENCY_WEIGHT: f64 = 0.05;
-/// The baseline follows the mean for this many answers; after that it follows only a falling mean. It is
-/// less than twenty because, where each of many balancers has few calls, an overload can form before twenty
-/// answers have come, and would be taken for normal.
+/// The baseline follows the mean for this many answers; after that it follows a falling mean at once and a
+/// rising one slowly. It is less than twenty because, where each of many balancers has few calls, an
+/// overload can form before twenty answers have come, and would be taken for normal.
 pub(crate) const BASELINE_SAMPLES: u32 = 5;
 /// Seconds in which the baseline rises by two thirds of the way to the mean. The rise depends on time and
 /// is slow: otherwise an overload would be taken for normal, the sooner the more calls a balancer has.
