--- a/crates/runtime/src/inbound/exchange.rs
+++ b/crates/runtime/src/inbound/exchange.rs
@@ -3,7 +3,7 @@
 use super::Inbound;
 use super::connection::{ClientConnection, Event};
 use super::request::{Rejection, bad_request, body_rejection, remove_hop_by_hop_headers, text_response};
-use crate::events::{Answer, Arrival, Client, Forward, Inbox, Input};
+use crate::events::{ClientStatus, FinalResponse, ForwardedRequest, Inbox, Input, ReceivedRequest};
 use crate::figures::{RequestMetrics, RequestOutcome};
 use crate::streaming::{
     BodyError, MAX_BODY_BYTES, ReceivedBody, RequestBody, ResponseBody, StreamingUpload, receive_body,
@@ -51,15 +51,15 @@
 struct ResponseWait<'a> {
     inbox: &'a Inbox,
     id: RequestId,
-    client: Client,
+    client: ClientStatus,
     answered: bool,
 }
 
 impl Drop for ResponseWait<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            self.client.leaves();
-            let _ = self.inbox.send(Input::ClientGone(self.id));
+            self.client.set_disconnected();
+            let _ = self.inbox.send(Input::ClientDisconnected(self.id));
         }
     }
 }
@@ -249,18 +249,25 @@
         let key = head.headers.get("idempotency-key").filter(|_| self.is_grouped[request.class.0]);
         let key = key.map(|key| curlewhub_keys::hash(&self.classes[request.class.0], key.as_bytes()));
         remove_hop_by_hop_headers(&mut head.headers);
-        let (answer, answered) = oneshot::channel();
+        let (reply, answered) = oneshot::channel();
         // The client may have sent an absolute URI; endpoints get only path and query.
         let target = head.uri.path_and_query().and_then(|target| target.as_str().parse().ok());
         let uri = target.unwrap_or(head.uri);
-        let forward = Forward { method: head.method, uri, headers: head.headers, body };
+        let forwarded = ForwardedRequest { method: head.method, uri, headers: head.headers, body };
         let within = time - RESPONSE_MARGIN.min(time / 10);
         let deadline = received_at + if upload.is_some() { MAX_UPLOAD_TIME } else { within };
-        let client = Client::default();
-        let arrival =
-            Arrival { request, key, deadline, time: within, forward, answer, client: client.clone() };
+        let client = ClientStatus::default();
+        let arrival = ReceivedRequest {
+            request,
+            key,
+            deadline,
+            response_timeout: within,
+            forwarded,
+            reply,
+            client: client.clone(),
+        };
         let mut wait = ResponseWait { inbox: &self.inbox, id, client, answered: false };
-        let _ = self.inbox.send(Input::Arrived(Box::new(arrival)));
+        let _ = self.inbox.send(Input::RequestReceived(Box::new(arrival)));
         let answer = match upload {
             // The timeout answers the client in time even if the balancer lost track of the request.
             None => Self::unless_pipelined(connection, timeout_at(received_at + time, answered)).await?,
@@ -279,7 +286,7 @@
                         forwarded.map_err(body_rejection)?;
                         metrics.record_received();
                         let received_at = Instant::now();
-                        let _ = self.inbox.send(Input::BodyWhole(id, received_at + within));
+                        let _ = self.inbox.send(Input::BodyComplete(id, received_at + within));
                         Self::unless_pipelined(connection, timeout_at(received_at + time, answered)).await?
                     }
                 }
@@ -287,8 +294,8 @@
         };
         wait.answered = answer.is_ok();
         Ok(match answer {
-            Ok(Ok(Answer::Served(body))) => Response::new(body),
-            Ok(Ok(Answer::Refused(retry_after))) => {
+            Ok(Ok(FinalResponse::Served(body))) => Response::new(body),
+            Ok(Ok(FinalResponse::Refused(retry_after))) => {
                 let mut reply = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
                 if let Some(delay) = retry_after
                     && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", delay.as_secs_f64()))
@@ -297,7 +304,7 @@
                 }
                 reply
             }
-            Ok(Ok(Answer::Failed) | Err(_)) => text_response(StatusCode::BAD_GATEWAY, "failed"),
+            Ok(Ok(FinalResponse::Failed) | Err(_)) => text_response(StatusCode::BAD_GATEWAY, "failed"),
             Err(_) => text_response(StatusCode::GATEWAY_TIMEOUT, "out of time"),
         })
     }
@@ -306,7 +313,7 @@
     /// streamed.
     async fn forward_upload(&self, upload: &StreamingUpload, id: RequestId) -> Result<(), BodyError> {
         upload.streaming_started().await;
-        let _ = self.inbox.send(Input::BodyFlows(id));
+        let _ = self.inbox.send(Input::BodyNotReplayable(id));
         upload.end().await
     }
 }
