--- a/crates/runtime/src/discovery/body.rs
+++ b/crates/runtime/src/discovery/body.rs
@@ -1,33 +1,34 @@
-//! Reads the body of an answer piece by piece, within deadlines, and notices where it breaks off.
+//! Reads the body of a response frame by frame, with timeouts, and detects when it stalls.
 
-use super::error::{CallError, Part};
+use super::error::{CallError, ResponseKind};
 use curlewhub_discovery_client::timing::{PARTIAL_LIST_AFTER, PAUSE_TIMEOUT};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Bytes};
 use tokio::time::{Instant, timeout_at};
 
-/// No list, and no line of a watch, is longer than this.
+/// Maximum length of a list, and of a line of a watch.
 pub(super) const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// What a read has come to.
+/// The result of a read.
 #[derive(Debug, PartialEq)]
 pub(super) enum Progress {
-    /// More has come.
+    /// More data was received.
     More,
-    /// What is there has been there for long, or the body has just paused: it may have broken off here.
-    MayHaveBrokenOff,
+    /// The data received has been incomplete for a long time, or the body has just paused: it may be cut
+    /// off here.
+    MayBeCutOff,
     /// The body has ended.
     End,
 }
 
-/// A body and what has come of it and is not taken yet.
+/// A body, and the data received from it that has not been consumed yet.
 pub(super) struct BodyReader<B> {
     body: B,
-    part: Part,
-    pub text: Vec<u8>,
-    /// When what is there was last looked at, or began.
-    looked: Option<Instant>,
-    /// It was found paused, and is given a last while.
+    part: ResponseKind,
+    pub buffer: Vec<u8>,
+    /// When the incomplete data in the buffer began, or was last reported as possibly cut off.
+    checked_at: Option<Instant>,
+    /// The last read timed out; the next one gets a last, short timeout.
     paused: bool,
 }
 
@@ -35,43 +36,45 @@
 where
     B: Body<Data = Bytes, Error = hyper::Error> + Unpin,
 {
-    pub fn new(body: B, part: Part) -> Self {
-        BodyReader { body, part, text: Vec::new(), looked: None, paused: false }
+    pub fn new(body: B, part: ResponseKind) -> Self {
+        BodyReader { body, part, buffer: Vec::new(), checked_at: None, paused: false }
     }
 
-    /// A line has been taken whole: the next one begins anew.
-    pub fn line_taken(&mut self) {
-        self.looked = None;
+    /// A complete line was consumed: the timeout of the next one starts anew.
+    pub fn line_consumed(&mut self) {
+        self.checked_at = None;
     }
 
-    /// Reads on, no longer than until `due`, however steadily something comes. Where the body may have broken off it
-    /// reports that once, and keeps reading.
+    /// Reads more data, until `due` at the latest, however steadily data arrives. Reports once that the
+    /// body may be cut off, and keeps reading after that.
     pub async fn read(&mut self, due: Instant) -> Result<Progress, CallError> {
-        let begun = !self.text.trim_ascii().is_empty();
-        let until = match (begun, self.paused) {
+        let has_data = !self.buffer.trim_ascii().is_empty();
+        let until = match (has_data, self.paused) {
             (false, _) => due,
             (true, true) => (Instant::now() + PAUSE_TIMEOUT).min(due),
-            (true, false) => (*self.looked.get_or_insert_with(Instant::now) + PARTIAL_LIST_AFTER).min(due),
+            (true, false) => {
+                (*self.checked_at.get_or_insert_with(Instant::now) + PARTIAL_LIST_AFTER).min(due)
+            }
         };
         match timeout_at(until, self.body.frame()).await {
             Ok(None) => Ok(Progress::End),
             Ok(Some(Ok(frame))) => {
                 self.paused = false;
-                self.text.extend_from_slice(frame.data_ref().map_or(&[][..], |data| data));
-                if !begun {
-                    self.looked = None;
+                self.buffer.extend_from_slice(frame.data_ref().map_or(&[][..], |data| data));
+                if !has_data {
+                    self.checked_at = None;
                 }
-                if self.text.len() > MAX_LIST_BYTES {
+                if self.buffer.len() > MAX_LIST_BYTES {
                     return Err(CallError::TooLong(self.part));
                 }
                 Ok(Progress::More)
             }
-            Ok(Some(Err(source))) => Err(CallError::BodyBroke { part: self.part, source }),
-            Err(_) if !begun => Err(CallError::Silent(self.part)),
-            Err(_) if self.paused || Instant::now() >= due => Err(CallError::BrokeOff(self.part)),
+            Ok(Some(Err(source))) => Err(CallError::Body { part: self.part, source }),
+            Err(_) if !has_data => Err(CallError::Silent(self.part)),
+            Err(_) if self.paused || Instant::now() >= due => Err(CallError::CutOff(self.part)),
             Err(_) => {
-                (self.paused, self.looked) = (true, Some(Instant::now()));
-                Ok(Progress::MayHaveBrokenOff)
+                (self.paused, self.checked_at) = (true, Some(Instant::now()));
+                Ok(Progress::MayBeCutOff)
             }
         }
     }
--- a/crates/runtime/src/discovery/call.rs
+++ b/crates/runtime/src/discovery/call.rs
@@ -1,7 +1,7 @@
-//! One call to discovery: made, read to its end, and reported as it proceeds.
+//! One call to discovery: makes it, reads the response to its end, and reports its progress.
 
 use super::body::{BodyReader, Progress};
-use super::error::{CallError, Part};
+use super::error::{CallError, ResponseKind};
 use super::trace::CallTrace;
 use crate::guard::AbortOnDrop;
 use crate::interrupts::Uninterrupted;
@@ -19,56 +19,56 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout_at};
 
-/// What a call reports.
+/// A report of a call.
 #[derive(Debug)]
 pub(super) enum Report {
-    /// A line of a watch: a list, changes, or nothing new.
+    /// A line of a watch: a list, changes, or none if nothing has changed.
     Line(Option<EndpointList>),
-    /// A whole list.
+    /// A complete list.
     WholeList(EndpointList),
-    /// What can be read of a list that may have broken off.
-    Torn(EndpointList),
-    /// The call has ended, and no more comes of it.
+    /// The complete entries of a list that may be cut off.
+    Partial(EndpointList),
+    /// The call has ended; no more reports follow.
     Ended {
-        /// Why.
+        /// The reason.
         error: CallError,
-        /// It was a watch that was up.
+        /// Whether it was a watch that was up.
         watch_was_up: bool,
     },
 }
 
-/// What is asked of whom.
+/// What a call requests, and from which server.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Order {
+pub(super) struct CallSpec {
     pub id: CallId,
     pub epoch: Epoch,
     pub kind: CallKind,
     pub address: SocketAddr,
 }
 
-/// Where a call's reports go, each with its number.
+/// Receives the reports of calls, with the id of the call.
 pub(super) type Reports = Sender<(CallId, Report)>;
 
-/// A call that is out.
-pub(super) struct Call {
-    order: Order,
+/// A call in progress.
+pub(super) struct DiscoveryCall {
+    spec: CallSpec,
     reports: Reports,
     trace: CallTrace,
-    /// When the call counts as failed, as long as nothing has opened.
-    due: Instant,
-    began: Instant,
+    /// When the call counts as failed, unless its watch has opened.
+    deadline: Instant,
+    started_at: Instant,
 }
 
-impl Call {
-    pub fn new(order: Order, reports: Reports) -> Self {
-        let trace = CallTrace::begin(order.id, order.epoch, order.kind, order.address);
-        let began = Instant::now();
-        Call { order, reports, trace, due: began + CALL_TIMEOUT, began }
+impl DiscoveryCall {
+    pub fn new(spec: CallSpec, reports: Reports) -> Self {
+        let trace = CallTrace::start(spec.id, spec.epoch, spec.kind, spec.address);
+        let started_at = Instant::now();
+        DiscoveryCall { spec, reports, trace, deadline: started_at + CALL_TIMEOUT, started_at }
     }
 
-    /// Makes it, and reports what comes until it ends.
+    /// Makes the call, and reports its progress until it ends.
     pub async fn run(mut self) {
-        let (error, watch_was_up) = match self.order.kind {
+        let (error, watch_was_up) = match self.spec.kind {
             CallKind::WholeList => match self.whole_list().await {
                 Ok(list) => {
                     self.trace.ended("answered".to_owned());
@@ -91,60 +91,62 @@
 
     async fn whole_list(&mut self) -> Result<EndpointList, CallError> {
         let (response, _connection) = self.request("/api/targets").await?;
-        let mut reader = BodyReader::new(response.into_body(), Part::List);
+        let mut reader = BodyReader::new(response.into_body(), ResponseKind::List);
         loop {
-            match reader.read(self.due).await {
+            match reader.read(self.deadline).await {
                 Ok(Progress::More) => self.trace.first_byte(),
-                Ok(Progress::MayHaveBrokenOff) => self.report_torn(&reader.text).await,
+                Ok(Progress::MayBeCutOff) => self.report_partial(&reader.buffer).await,
                 Ok(Progress::End) => break,
                 Err(error) => {
-                    self.report_torn(&reader.text).await;
+                    self.report_partial(&reader.buffer).await;
                     return Err(error);
                 }
             }
         }
-        match serde_json::from_slice::<EndpointList>(&reader.text) {
+        match serde_json::from_slice::<EndpointList>(&reader.buffer) {
             Ok(list) if list.is_complete => Ok(list),
-            Ok(_) => Err(CallError::NotWhole),
+            Ok(_) => Err(CallError::Incomplete),
             Err(source) => {
-                self.report_torn(&reader.text).await;
-                Err(CallError::NoList { part: Part::List, source })
+                self.report_partial(&reader.buffer).await;
+                Err(CallError::Malformed { part: ResponseKind::List, source })
             }
         }
     }
 
-    /// Follows a watch to its end.
+    /// Follows a watch until it ends.
     async fn watch(&mut self, after: u64, up: &mut bool) -> Result<std::convert::Infallible, CallError> {
         let (response, _connection) = self.request(&format!("/api/targets?watch=1&after={after}")).await?;
-        let mut reader = BodyReader::new(response.into_body(), Part::Watch);
-        let mut state = WatchState::Opening { deadline: self.due - self.began };
+        let mut reader = BodyReader::new(response.into_body(), ResponseKind::Watch);
+        let mut state = WatchState::Opening { deadline: self.deadline - self.started_at };
         loop {
-            match reader.read(self.began + state.deadline()).await {
+            match reader.read(self.started_at + state.deadline()).await {
                 Ok(Progress::More) => self.trace.first_byte(),
-                Ok(Progress::MayHaveBrokenOff) => {
-                    self.report_torn(&reader.text).await;
+                Ok(Progress::MayBeCutOff) => {
+                    self.report_partial(&reader.buffer).await;
                     continue;
                 }
                 Ok(Progress::End) => {
-                    self.report_torn(&reader.text).await;
+                    self.report_partial(&reader.buffer).await;
                     return Err(CallError::WatchEnded);
                 }
                 Err(error) => {
-                    self.report_torn(&reader.text).await;
+                    self.report_partial(&reader.buffer).await;
                     return Err(error);
                 }
             }
-            let mut lines = take_lines(&mut reader.text);
-            // Where no version of the list is held, an empty line opens nothing: its first object is still to come.
+            let mut lines = take_lines(&mut reader.buffer);
+            // If no version of the list is known yet, an empty line does not open the watch: the first list
+            // has not been received.
             lines.retain(|line| *up || after > 0 || !matches!(line, Ok(None)));
             let line_ended = !lines.is_empty();
             for line in lines {
                 let line = match line {
                     Ok(line) => line,
-                    // To skip a change would leave the list wrong for good: the watch begins again instead.
+                    // Skipping a change would leave the list wrong permanently, so the watch is restarted
+                    // instead.
                     Err(source) => {
-                        self.report_torn(&reader.text).await;
-                        return Err(CallError::NoList { part: Part::Watch, source });
+                        self.report_partial(&reader.buffer).await;
+                        return Err(CallError::Malformed { part: ResponseKind::Watch, source });
                     }
                 };
                 if !std::mem::replace(up, true) {
@@ -153,61 +155,63 @@
                 self.report(Report::Line(line)).await;
             }
             if line_ended {
-                reader.line_taken();
+                reader.line_consumed();
             }
-            let now: Duration = self.began.elapsed();
-            state = state.after_read(now, line_ended, !reader.text.is_empty());
+            let now: Duration = self.started_at.elapsed();
+            state = state.after_read(now, line_ended, !reader.buffer.is_empty());
         }
     }
 
     async fn request(&mut self, path: &str) -> Result<(Response<Incoming>, AbortOnDrop), CallError> {
-        let address = self.order.address;
-        let up = self.due.min(Instant::now() + CONNECT_TIMEOUT);
-        let connect = timeout_at(up, TcpStream::connect(address)).await;
-        let stream = connect.map_err(|_| CallError::ConnectTimeout)?.map_err(CallError::of_connect)?;
+        let address = self.spec.address;
+        let connect_deadline = self.deadline.min(Instant::now() + CONNECT_TIMEOUT);
+        let connect = timeout_at(connect_deadline, TcpStream::connect(address)).await;
+        let stream = connect.map_err(|_| CallError::ConnectTimeout)?.map_err(CallError::from_connect)?;
         self.trace.connected();
         let io = TokioIo::new(Uninterrupted(stream));
         let (mut sender, connection) =
-            hyper::client::conn::http1::handshake(io).await.map_err(CallError::Broke)?;
+            hyper::client::conn::http1::handshake(io).await.map_err(CallError::Http)?;
         let guard = AbortOnDrop::new(spawn_local(connection).abort_handle());
         let request = Request::get(path)
             .header(header::HOST, address.to_string())
             .body(Empty::<Bytes>::new())
             .map_err(CallError::Request)?;
-        let answer = timeout_at(self.due, sender.send_request(request)).await;
-        let response = answer.map_err(|_| CallError::NoAnswer)?.map_err(CallError::Broke)?;
+        let response = timeout_at(self.deadline, sender.send_request(request)).await;
+        let response = response.map_err(|_| CallError::ResponseTimeout)?.map_err(CallError::Http)?;
         match response.status() {
             StatusCode::OK => Ok((response, guard)),
-            status => Err(CallError::Refused(status)),
+            status => Err(CallError::Status(status)),
         }
     }
 
-    /// Reports the complete entries of a list that broke off: a drain in them counts as notified. Entries that are up, and
-    /// missing ones, may read otherwise behind the break; they wait for a complete list.
-    async fn report_torn(&self, text: &[u8]) {
+    /// Reports the complete entries of a list that may be cut off: a drain in them counts as notified.
+    /// Entries that are up, and missing ones, may be changed by the part that was not received; they wait
+    /// for a complete list.
+    async fn report_partial(&self, text: &[u8]) {
         let list = EndpointList::from_truncated(text);
         if !list.targets.is_empty() {
-            self.report(Report::Torn(list)).await;
+            self.report(Report::Partial(list)).await;
         }
     }
 
     async fn report(&self, report: Report) {
-        let _ = self.reports.send((self.order.id, report)).await; // fails only while the process ends
+        let _ = self.reports.send((self.spec.id, report)).await; // fails only while the process ends
     }
 }
 
-/// Takes what is whole of the lines that a watch has brought, and leaves the rest. A list may come indented, over
-/// several lines; an empty line says that nothing has changed. Behind what is no list nothing is taken.
+/// Removes the complete lines of a watch from the buffer and parses them; an incomplete one stays. A list
+/// may be indented over several lines; an empty line means that nothing has changed. Nothing after an
+/// invalid list is parsed.
 fn take_lines(text: &mut Vec<u8>) -> Vec<Result<Option<EndpointList>, serde_json::Error>> {
     let mut lines = Vec::new();
     loop {
-        let white = text.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
-        let empty_line = text.drain(..white).any(|byte| byte == b'\n');
-        // The end of a list's own line is no line of its own.
+        let whitespace = text.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+        let empty_line = text.drain(..whitespace).any(|byte| byte == b'\n');
+        // The line end after a list is not an empty line.
         if empty_line && lines.is_empty() {
             lines.push(Ok(None));
         }
-        // A piece without a list's end is not read again and again.
+        // An incomplete list is not parsed again for each frame.
         if !text.contains(&b'}') {
             return lines;
         }
--- a/crates/runtime/src/discovery/error.rs
+++ b/crates/runtime/src/discovery/error.rs
@@ -1,87 +1,87 @@
-//! Why a call to discovery brought nothing.
+//! Errors of calls to discovery.
 
 use crate::connect::ConnectError;
 use curlewhub_discovery_client::EndReason;
 use hyper::StatusCode;
 use std::io;
 
-/// Why a call to discovery brought nothing, or a watch ended.
+/// Why a call to discovery failed, or a watch ended.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// It was answered, and not by a list: discovery is there.
+    /// The response has a status other than 200: discovery is reachable.
     #[error("answered {0}")]
-    Refused(StatusCode),
-    /// This machine could not make it: nothing reached discovery.
+    Status(StatusCode),
+    /// This machine could not make the call: nothing reached discovery.
     #[error("not made: {0}")]
     Local(#[source] io::Error),
-    /// No connection was established within its part of the call's time.
+    /// No connection was established within the connect timeout, a part of the call's timeout.
     #[error("no connection in time")]
     ConnectTimeout,
     /// The connection failed.
     #[error("{0}")]
     Connect(#[source] ConnectError),
-    /// The exchange broke.
-    #[error("the exchange broke: {0}")]
-    Broke(#[source] hyper::Error),
-    /// There was no answer within the call's time.
+    /// The HTTP exchange failed.
+    #[error("the HTTP exchange failed: {0}")]
+    Http(#[source] hyper::Error),
+    /// No response was received within the call's timeout.
     #[error("no answer in time")]
-    NoAnswer,
+    ResponseTimeout,
     /// The request could not be built.
-    #[error("no request: {0}")]
+    #[error("the request can't be built: {0}")]
     Request(#[source] hyper::http::Error),
-    /// The body broke.
+    /// Reading the body failed.
     #[error("{part} broke: {source}")]
-    BodyBroke {
-        /// What broke.
-        part: Part,
-        /// How.
+    Body {
+        /// The kind of response.
+        part: ResponseKind,
+        /// The cause.
         source: hyper::Error,
     },
-    /// A body that had begun paused or trickled for too long.
+    /// An incomplete body paused, or arrived too slowly.
     #[error("{0} broke off")]
-    BrokeOff(Part),
+    CutOff(ResponseKind),
     /// Nothing was received for too long.
     #[error("{0} fell silent")]
-    Silent(Part),
+    Silent(ResponseKind),
     /// A watch's body ended.
     #[error("the watch ended")]
     WatchEnded,
-    /// The answer is longer than any list.
+    /// The response is longer than any list may be.
     #[error("{0} is too long")]
-    TooLong(Part),
-    /// The answer is no list.
-    #[error("{part} brought what is no list: {source}")]
-    NoList {
-        /// What brought it.
-        part: Part,
-        /// What is wrong with it.
+    TooLong(ResponseKind),
+    /// The response is not a valid list.
+    #[error("{part} is not a valid list: {source}")]
+    Malformed {
+        /// The kind of response.
+        part: ResponseKind,
+        /// The parse error.
         source: serde_json::Error,
     },
-    /// A whole list was requested, and the answer has changes only.
-    #[error("the list is not whole")]
-    NotWhole,
+    /// A complete list was requested, and the response has changes only.
+    #[error("the list is incomplete")]
+    Incomplete,
 }
 
-/// What of discovery's was read.
+/// The kind of response that was read.
 #[derive(Clone, Copy, Debug)]
-pub enum Part {
-    /// The answer that is a whole list.
+pub enum ResponseKind {
+    /// A complete list.
     List,
-    /// A watch.
+    /// The lines of a watch.
     Watch,
 }
 
-impl std::fmt::Display for Part {
+impl std::fmt::Display for ResponseKind {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Part::List => "the list",
-            Part::Watch => "the watch",
+            ResponseKind::List => "the list",
+            ResponseKind::Watch => "the watch",
         })
     }
 }
 
 impl CallError {
-    /// The error and all that caused it, for the log.
+    /// The error and its causes, for the log.
     pub(super) fn chain(&self) -> String {
         let mut text = self.to_string();
         let mut source = std::error::Error::source(self);
@@ -96,28 +96,28 @@
     }
 
     /// Classifies an error of connect(2).
-    pub(super) fn of_connect(error: io::Error) -> Self {
+    pub(super) fn from_connect(error: io::Error) -> Self {
         match ConnectError::from(error) {
             ConnectError::Resources(error) | ConnectError::Route(error) => CallError::Local(error),
             error => CallError::Connect(error),
         }
     }
 
-    /// How the call ended; a watch that was up may have fallen silent.
-    pub(super) fn ending(&self, watch_was_up: bool) -> EndReason {
+    /// The reason for the discovery client; a watch that was up may have fallen silent or been reset.
+    pub(super) fn end_reason(&self, watch_was_up: bool) -> EndReason {
         match self {
-            CallError::Refused(_) => EndReason::Refused,
+            CallError::Status(_) => EndReason::Refused,
             CallError::Local(_) => EndReason::LocalError,
             CallError::ConnectTimeout | CallError::Connect(_) => EndReason::NotConnected,
-            CallError::Broke(_) | CallError::NoAnswer => EndReason::NoResponse,
+            CallError::Http(_) | CallError::ResponseTimeout => EndReason::NoResponse,
             CallError::Silent(_) if watch_was_up => EndReason::Silent,
-            CallError::BodyBroke { source, .. } if watch_was_up && is_reset(source) => EndReason::Reset,
+            CallError::Body { source, .. } if watch_was_up && is_reset(source) => EndReason::Reset,
             _ => EndReason::Failed,
         }
     }
 }
 
-/// Whether the system reports that the connection broke, rather than that its peer has ended it.
+/// Whether the system reported a connection error, rather than the peer closing the connection.
 fn is_reset(error: &hyper::Error) -> bool {
     let mut source = std::error::Error::source(error);
     while let Some(cause) = source {
--- a/crates/runtime/src/discovery/mod.rs
+++ b/crates/runtime/src/discovery/mod.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: carries out what the discovery client decides, and passes on what comes of it.
+//! Fetches the endpoint list from discovery: makes the calls that the discovery client decides on, and
+//! passes updates of the list to the driver.
 
 mod body;
 mod call;
@@ -8,11 +9,11 @@
 use crate::events::{Inbox, Input, ListCommand, ListStatus, ListUpdate};
 use crate::guard::AbortOnDrop;
 use crate::listing::Listing;
-use call::{Order, Report, Reports};
+use call::{CallSpec, DiscoveryCall, Report, Reports};
 use curlewhub_balance::{Discovery as DiscoveryMode, Membership, Rules as ListRules};
 use curlewhub_config::list::EndpointList;
 use curlewhub_discovery_client::{Action, CallId, Client, LeaseSettings, LeaseState, Mode, Outcome};
-pub use error::{CallError, Part};
+pub use error::{CallError, ResponseKind};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,27 +24,27 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::{info, warn};
 
-/// Reports of calls that wait to be looked at, at the most; a call waits until there is room.
-const REPORTS_QUEUED: usize = 16;
-/// A timer that is far away, while none is set.
-const IDLE: Duration = Duration::from_secs(3600);
+/// Maximum number of queued reports of calls; a call that reports more waits.
+const MAX_QUEUED_REPORTS: usize = 16;
+/// Wait for the timer while none is set.
+const NO_TIMER_WAIT: Duration = Duration::from_secs(3600);
 
-/// What the process knows of discovery.
+/// Makes the calls to discovery, and keeps the status of the list that it sends.
 pub struct Discovery {
     address: Cell<SocketAddr>,
     mode: Mode,
     listing: Rc<Listing>,
     client: RefCell<Client>,
-    started: Instant,
-    /// It has told us of the list since the start of the process.
-    heard: Cell<bool>,
+    started_at: Instant,
+    /// Discovery has sent a list, or confirmed it, since the start of the process.
+    confirmed: Cell<bool>,
     status: Cell<Option<ListStatus>>,
     lease_state: Cell<Option<LeaseState>>,
     inbox: Inbox,
 }
 
 impl Discovery {
-    /// Discovery at this address.
+    /// For discovery at this address.
     pub fn new(
         address: SocketAddr,
         mode: DiscoveryMode,
@@ -59,60 +60,71 @@
         let rules = LeaseSettings { ask_within: rules.ask_within, drain_grace: rules.drain_grace };
         let client = RefCell::new(Client::new(mode, rules, seed, Duration::ZERO));
         let lease_state = Cell::new(Some(client.borrow().lease().state()));
-        let (heard, status) = Default::default();
-        let (address, started) = (Cell::new(address), Instant::now());
-        Rc::new(Discovery { address, mode, listing, client, started, heard, status, lease_state, inbox })
+        let (confirmed, status) = Default::default();
+        let (address, started_at) = (Cell::new(address), Instant::now());
+        Rc::new(Discovery {
+            address,
+            mode,
+            listing,
+            client,
+            started_at,
+            confirmed,
+            status,
+            lease_state,
+            inbox,
+        })
     }
 
-    /// Whether the list is as discovery has it, and not only as it was last held before the start.
+    /// Whether discovery has sent or confirmed the list since the start; before that it is a cached one.
     pub fn is_fresh(&self) -> bool {
-        self.heard.get()
+        self.confirmed.get()
     }
 
-    /// The list as last held, to start from.
+    /// Translates the cached list that the process starts with.
     pub fn cached(&self, list: EndpointList) -> ListUpdate {
         self.client.borrow_mut().set_initial_version(list.rev);
-        let mut news = self.listing.update(list);
-        if let Membership::Full(entries) | Membership::Delta(entries) = news.membership {
-            news.membership = Membership::Cached(entries);
+        let mut update = self.listing.update(list);
+        if let Membership::Full(entries) | Membership::Delta(entries) = update.membership {
+            update.membership = Membership::Cached(entries);
         }
-        news
+        update
     }
 
-    /// Carries out the driver's calls. Each is answered by an event; a watch stays open after it.
-    pub async fn run(self: Rc<Self>, mut calls: UnboundedReceiver<ListCommand>) {
-        let (reports, mut reported) = mpsc::channel(REPORTS_QUEUED);
-        let mut out = HashMap::new();
-        // Where lists are pushed, a watch must always be up: the module never asks for one.
+    /// Carries out the driver's commands. A fetch or a started watch leads to an update of the list or to
+    /// the report of a failure; a watch stays open after it.
+    pub async fn run(self: Rc<Self>, mut commands: UnboundedReceiver<ListCommand>) {
+        let (reports, mut reported) = mpsc::channel(MAX_QUEUED_REPORTS);
+        let mut running = HashMap::new();
+        // In push mode a watch must always be up: the balancer never requests one.
         if self.mode == Mode::Push {
             self.client.borrow_mut().follow(self.now());
         }
         loop {
-            self.carry_out(&mut out, &reports);
-            self.pass_status();
-            let timer = self.client.borrow().next_timer().unwrap_or(self.now() + IDLE);
+            self.carry_out(&mut running, &reports);
+            self.send_status();
+            let timer = self.client.borrow().next_timer().unwrap_or(self.now() + NO_TIMER_WAIT);
             tokio::select! {
                 biased;
-                Some((id, report)) = reported.recv() => self.reported(id, report),
-                call = calls.recv() => match call {
-                    Some(call) => self.called(call),
+                Some((id, report)) = reported.recv() => self.handle_report(id, report),
+                command = commands.recv() => match command {
+                    Some(command) => self.handle_command(command),
                     None => return,
                 },
-                () = sleep_until(self.started + timer) => self.client.borrow_mut().timer(self.now()),
+                () = sleep_until(self.started_at + timer) => self.client.borrow_mut().timer(self.now()),
             }
         }
     }
 
     fn now(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
-    fn called(&self, call: ListCommand) {
+    fn handle_command(&self, command: ListCommand) {
         let (mut client, now) = (self.client.borrow_mut(), self.now());
-        match call {
+        match command {
             ListCommand::Watch(true) => client.follow(now),
             ListCommand::Watch(false) => client.unfollow(),
-            ListCommand::ReplaceTargets(_) => {} // the file's list was for the start alone
+            ListCommand::ReplaceTargets(_) => {} // a list in the file is only used at the start
             ListCommand::Fetch => client.fetch(now),
             ListCommand::SetAddress(address) => {
                 self.address.set(address);
@@ -121,60 +133,60 @@
         }
     }
 
-    fn reported(&self, id: CallId, report: Report) {
+    fn handle_report(&self, id: CallId, report: Report) {
         let (mut client, now) = (self.client.borrow_mut(), self.now());
         match report {
             Report::Line(list) => {
-                self.heard.set(true);
+                self.confirmed.set(true);
                 client.watch_line(now, id, list);
             }
             Report::WholeList(list) => {
-                self.heard.set(true);
+                self.confirmed.set(true);
                 client.whole_list(now, id, list);
             }
-            Report::Torn(list) => {
+            Report::Partial(list) => {
                 info!(call = id.0, rev = list.rev, entries = list.targets.len(), "list that broke off");
                 client.partial_list(id, list);
             }
             Report::Ended { error, watch_was_up } => {
                 warn!(call = id.0, reason = error.chain(), "discovery");
-                client.call_ended(now, id, error.ending(watch_was_up));
+                client.call_ended(now, id, error.end_reason(watch_was_up));
             }
         }
     }
 
-    fn carry_out(&self, out: &mut HashMap<CallId, AbortOnDrop>, reports: &Reports) {
+    fn carry_out(&self, running: &mut HashMap<CallId, AbortOnDrop>, reports: &Reports) {
         for action in self.client.borrow_mut().take_actions() {
             match action {
                 Action::Call { id, epoch, kind } => {
-                    let order = Order { id, epoch, kind, address: self.address.get() };
-                    let call = call::Call::new(order, reports.clone());
-                    out.retain(|_, guard| !guard.is_finished());
-                    out.insert(id, AbortOnDrop::new(spawn_local(call.run()).abort_handle()));
+                    let spec = CallSpec { id, epoch, kind, address: self.address.get() };
+                    let call = DiscoveryCall::new(spec, reports.clone());
+                    running.retain(|_, guard| !guard.is_finished());
+                    running.insert(id, AbortOnDrop::new(spawn_local(call.run()).abort_handle()));
                 }
-                Action::Cancel(id) => drop(out.remove(&id)),
-                Action::Apply(list) => self.take(list),
-                Action::Unchanged => self.tell(Membership::Delta(Vec::new())),
-                Action::Report(Outcome::Failed) => self.tell(Membership::Failed),
-                Action::Report(Outcome::Refused) => self.tell(Membership::Refused),
+                Action::Cancel(id) => drop(running.remove(&id)),
+                Action::Apply(list) => self.send_update(list),
+                Action::Unchanged => self.send_membership(Membership::Delta(Vec::new())),
+                Action::Report(Outcome::Failed) => self.send_membership(Membership::Failed),
+                Action::Report(Outcome::Refused) => self.send_membership(Membership::Refused),
             }
         }
     }
 
-    fn take(&self, list: EndpointList) {
+    fn send_update(&self, list: EndpointList) {
         if !list.targets.is_empty() {
             info!(rev = list.rev, whole = list.is_complete, entries = list.targets.len(), "list");
         }
-        let news = self.listing.update(list);
-        let _ = self.inbox.send(Input::ListUpdate(news)); // fails only while the process ends
+        let update = self.listing.update(list);
+        let _ = self.inbox.send(Input::ListUpdate(update)); // fails only while the process ends
     }
 
-    fn tell(&self, membership: Membership) {
+    fn send_membership(&self, membership: Membership) {
         let _ = self.inbox.send(Input::ListUpdate(ListUpdate { membership, addresses: Vec::new() }));
     }
 
-    /// Tells the driver how the list stands, where that has changed.
-    fn pass_status(&self) {
+    /// Sends the status of the list to the driver if it has changed.
+    fn send_status(&self) {
         let client = self.client.borrow();
         let (lease, now) = (client.lease(), self.now());
         let state = lease.state();
@@ -183,11 +195,11 @@
             let age = now.saturating_sub(lease.confirmed_at());
             info!(?state, version = client.version(), age_ms = age.as_millis() as u64, "list freshness");
         }
-        let heard_at = self.started + lease.confirmed_at();
+        let confirmed_at = self.started_at + lease.confirmed_at();
         let status = ListStatus {
-            expires_at: lease.expires_at().map(|at| self.started + at),
+            expires_at: lease.expires_at().map(|at| self.started_at + at),
             version: client.version(),
-            unwatched_since: (state != LeaseState::Watching).then_some(heard_at),
+            unwatched_since: (state != LeaseState::Watching).then_some(confirmed_at),
         };
         if self.status.replace(Some(status)) != Some(status) {
             let _ = self.inbox.send(Input::ListStatus(status)); // fails only while the process ends
--- a/crates/runtime/src/discovery/trace.rs
+++ b/crates/runtime/src/discovery/trace.rs
@@ -1,4 +1,4 @@
-//! The record of one call to discovery, written to the log as it opens and as it ends.
+//! The log events of one call to discovery: its start, the opening of a watch, and its end.
 
 use curlewhub_discovery_client::{CallId, CallKind, Epoch};
 use std::net::SocketAddr;
@@ -6,31 +6,41 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// A call's times and its end. Dropped before it has ended, the call was given up.
+/// The times of a call and the reason of its end. If it is dropped before the call has ended, the call was
+/// given up.
 pub(super) struct CallTrace {
     id: CallId,
     epoch: Epoch,
     kind: CallKind,
     address: SocketAddr,
-    began: Instant,
+    started_at: Instant,
     connected: Option<Duration>,
     first_byte: Option<Duration>,
-    end: Option<String>,
+    end_reason: Option<String>,
 }
 
 impl CallTrace {
-    pub fn begin(id: CallId, epoch: Epoch, kind: CallKind, address: SocketAddr) -> Self {
+    pub fn start(id: CallId, epoch: Epoch, kind: CallKind, address: SocketAddr) -> Self {
         info!(call = id.0, epoch = epoch.0, %address, kind = kind_name(kind), after = after(kind), "discovery call");
-        let (connected, first_byte, end) = Default::default();
-        CallTrace { id, epoch, kind, address, began: Instant::now(), connected, first_byte, end }
+        let (connected, first_byte, end_reason) = Default::default();
+        CallTrace {
+            id,
+            epoch,
+            kind,
+            address,
+            started_at: Instant::now(),
+            connected,
+            first_byte,
+            end_reason,
+        }
     }
 
     pub fn connected(&mut self) {
-        self.connected = Some(self.began.elapsed());
+        self.connected = Some(self.started_at.elapsed());
     }
 
     pub fn first_byte(&mut self) {
-        self.first_byte.get_or_insert(self.began.elapsed());
+        self.first_byte.get_or_insert(self.started_at.elapsed());
     }
 
     /// The watch has opened.
@@ -39,13 +49,13 @@
             call = self.id.0,
             connect_ms = self.connected.map(millis),
             first_byte_ms = self.first_byte.map(millis),
-            ms = millis(self.began.elapsed()),
+            ms = millis(self.started_at.elapsed()),
             "discovery watch opened"
         );
     }
 
     pub fn ended(&mut self, reason: String) {
-        self.end = Some(reason);
+        self.end_reason = Some(reason);
     }
 }
 
@@ -58,8 +68,8 @@
             kind = kind_name(self.kind),
             connect_ms = self.connected.map(millis),
             first_byte_ms = self.first_byte.map(millis),
-            ms = millis(self.began.elapsed()),
-            reason = self.end.as_deref().unwrap_or("given up"),
+            ms = millis(self.started_at.elapsed()),
+            reason = self.end_reason.as_deref().unwrap_or("given up"),
             "discovery call ended"
         );
     }
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -1,6 +1,6 @@
-//! Drives the module: turns what happens on the sockets into its events, and carries out its
-//! actions. It decides nothing, but keeps what must hold whatever is decided: one final answer a
-//! request, no attempt beyond the limit or the deadline, nothing sent for what is finished.
+//! Drives the balancer: turns what happens on the sockets into its events, and carries out its actions. The
+//! driver takes no decisions, but enforces what must hold whatever the balancer decides: one final response
+//! per request, no attempt beyond the limit or the deadline, and nothing sent for a finished request.
 
 mod list;
 mod probes;
@@ -34,44 +34,47 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::{debug, error, info, warn};
 
-/// Unusual outcomes are summed up in the log this often.
-const SUMMARY: Duration = Duration::from_secs(10);
+/// Interval at which the counts of unusual outcomes are logged.
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
-struct Try {
+/// An attempt of an open request.
+struct Attempt {
     endpoint: EndpointId,
-    sent: Instant,
-    /// Dropped to cancel; gone once the attempt has ended.
+    sent_at: Instant,
+    /// Dropped to cancel the attempt; none once it has ended.
     cancel: Option<oneshot::Sender<()>>,
 }
 
-/// A request until it has its final answer and all its attempts have ended.
-struct Open {
-    forward: ForwardedRequest,
-    /// Moves where a body still comes.
+/// A request until it has its final response and all its attempts have ended.
+struct OpenRequest {
+    forwarded: ForwardedRequest,
+    /// Changes once the body is complete.
     deadline: watch::Sender<Instant>,
-    /// How long its client waits, while its body still comes.
-    coming: Option<Duration>,
-    /// Gone once the request is finished: so there is never a second final answer.
-    answer: Option<oneshot::Sender<FinalResponse>>,
+    /// How long the client waits for the response; none once the body is complete.
+    timeout_after_body: Option<Duration>,
+    /// None once the request is finished, so that there is never a second final response.
+    reply: Option<oneshot::Sender<FinalResponse>>,
     client: ClientStatus,
-    tries: Vec<Try>,
-    out: usize,
+    attempts: Vec<Attempt>,
+    /// Attempts that have not ended yet.
+    in_flight: usize,
     class: ClassId,
-    /// The hash of its key, where repeats must keep to a group of endpoints.
+    /// The hash of its idempotency key, if repeats must stay within a group of endpoints.
     key: Option<u64>,
-    /// Its own first send is the one that is remembered of the key, and nothing says yet that it may have run.
-    noted: bool,
+    /// The key's remembered first send is this request's, and no attempt has ended yet in a way that it may
+    /// have been processed. If none does, the key is forgotten.
+    may_forget_key: bool,
 }
 
-/// The parts that the driver works with.
+/// The parts of the process that the driver uses.
 pub struct Dependencies {
     /// Connections to endpoints.
     pub outbound: Rc<Outbound>,
-    /// The list.
+    /// The ids and names of endpoints.
     pub listing: Rc<Listing>,
     /// Endpoints that operators have banned.
     pub bans: Rc<EndpointBans>,
-    /// Whether the process is to end.
+    /// The state of the process.
     pub lifecycle: Rc<Lifecycle>,
     /// Idempotency keys of jobs that may have run.
     pub idempotency_keys: IdempotencyKeys,
@@ -79,17 +82,18 @@
     pub call_observer: Rc<dyn CallObserver>,
 }
 
-/// Owns the module, its timers, and the requests and attempts in flight.
+/// Owns the balancer, its timers, and the requests and attempts in flight.
 pub struct Driver {
     balancer: Balancer,
     clock: Clock,
     max_attempts: usize,
-    requests: HashMap<RequestId, Open>,
+    requests: HashMap<RequestId, OpenRequest>,
     addresses: HashMap<EndpointId, SocketAddr>,
     timers: Timers,
-    /// Events that the driver's own doings brought about.
-    due: VecDeque<Event>,
-    unusual: HashMap<&'static str, u64>,
+    /// Events that arose while the driver carried out actions; the balancer has not handled them yet.
+    pending_events: VecDeque<Event>,
+    /// Counts of unusual outcomes since the last summary.
+    unusual_outcomes: HashMap<&'static str, u64>,
     summary_at: Instant,
     outbound: Rc<Outbound>,
     listing: Rc<Listing>,
@@ -97,31 +101,32 @@
     lifecycle: Rc<Lifecycle>,
     idempotency_keys: IdempotencyKeys,
     call_observer: Rc<dyn CallObserver>,
-    /// Probes of zones so far.
-    probes: usize,
-    /// Their ids.
+    /// Number of zone probes so far; selects the endpoint of the next one.
+    zone_probes: usize,
+    /// The ids of banned endpoints.
     banned: HashSet<EndpointId>,
-    /// Endpoints that are listed and drain.
+    /// Endpoints that are listed as draining.
     draining: HashSet<EndpointId>,
-    /// How the list stands, where discovery brings it.
+    /// The status of the list; none for a static list.
     list_status: Option<ListStatus>,
     /// Division of the overlap quota with another process.
     overlap: Overlap,
-    calls: UnboundedSender<ListCommand>,
+    list_commands: UnboundedSender<ListCommand>,
     inbox: Inbox,
 }
 
 impl Driver {
-    /// A driver of this module.
+    /// A driver of this balancer.
     pub fn new(
         balancer: Balancer,
         clock: Clock,
         max_attempts: u32,
-        parts: Dependencies,
-        calls: UnboundedSender<ListCommand>,
+        dependencies: Dependencies,
+        list_commands: UnboundedSender<ListCommand>,
         inbox: Inbox,
     ) -> Self {
-        let Dependencies { outbound, listing, bans, lifecycle, idempotency_keys, call_observer } = parts;
+        let Dependencies { outbound, listing, bans, lifecycle, idempotency_keys, call_observer } =
+            dependencies;
         Driver {
             balancer,
             clock,
@@ -129,37 +134,37 @@
             requests: HashMap::new(),
             addresses: HashMap::new(),
             timers: Timers::default(),
-            due: VecDeque::new(),
-            unusual: HashMap::new(),
-            summary_at: Instant::now() + SUMMARY,
+            pending_events: VecDeque::new(),
+            unusual_outcomes: HashMap::new(),
+            summary_at: Instant::now() + SUMMARY_INTERVAL,
             outbound,
             listing,
             bans,
             lifecycle,
             idempotency_keys,
             call_observer,
-            probes: 0,
+            zone_probes: 0,
             banned: HashSet::new(),
             draining: HashSet::new(),
             list_status: None,
             overlap: Overlap::default(),
-            calls,
+            list_commands,
             inbox,
         }
     }
 
-    /// Runs until nothing can report any more.
+    /// Runs until all senders of inputs are dropped.
     pub async fn run(
         mut self,
         mut inputs: UnboundedReceiver<Input>,
         mut commands: UnboundedReceiver<Command>,
     ) {
         for uid in self.bans.all() {
-            self.hold_back(&uid, true);
+            self.apply_ban(&uid, true);
         }
-        // Whoever calls first is to find the known list.
+        // The initial list is applied before the first command is handled.
         while let Ok(input) = inputs.try_recv() {
-            self.take(input);
+            self.handle_input(input);
         }
         loop {
             let next = self.timers.next().unwrap_or(self.summary_at);
@@ -168,40 +173,41 @@
             let next = retry_at.map_or(next, |at| at.min(next));
             tokio::select! {
                 biased;
-                // Operators wait for a second at most, whatever else does.
-                Some(command) = commands.recv() => self.obey(command),
+                // Commands take precedence: an operator waits for 1 s at most.
+                Some(command) = commands.recv() => self.handle_command(command),
                 input = inputs.recv() => match input {
-                    Some(input) => self.take(input),
+                    Some(input) => self.handle_input(input),
                     None => return,
                 },
                 () = sleep_until(next.min(self.summary_at)) => {}
             }
-            self.fire();
+            self.run_due_tasks();
         }
     }
 
-    fn fire(&mut self) {
+    /// Handles timers, retries, quota samples and the summary that are due.
+    fn run_due_tasks(&mut self) {
         let now = Instant::now();
         while let Some(token) = self.timers.take_due(now) {
-            self.handle(Event::Timer(TimerToken(token)));
+            self.handle_event(Event::Timer(TimerToken(token)));
         }
         self.idempotency_keys.retry();
         for uid in self.bans.retry() {
-            self.hold_back(&uid, true);
+            self.apply_ban(&uid, true);
         }
         let open = self.requests.len();
-        self.share(|overlap, access| overlap.sample_if_due(open, access));
+        self.with_overlap(|overlap, access| overlap.sample_if_due(open, access));
         if now >= self.summary_at {
-            self.summary_at = now + SUMMARY;
-            let mut counts: Vec<_> = self.unusual.drain().collect();
+            self.summary_at = now + SUMMARY_INTERVAL;
+            let mut counts: Vec<_> = self.unusual_outcomes.drain().collect();
             counts.sort();
-            // What is kept must stay in proportion to what is open and listed.
+            // These counts show leaks: what is kept must stay in proportion to what is open and listed.
             let (open, timers, module) =
                 (self.requests.len(), self.timers.len(), self.balancer.tracked_items());
             let (listed, names, links) =
-                (self.addresses.len(), self.listing.names(), self.outbound.idle_count());
+                (self.addresses.len(), self.listing.endpoint_count(), self.outbound.idle_count());
             info!(
-                seconds = SUMMARY.as_secs(),
+                seconds = SUMMARY_INTERVAL.as_secs(),
                 outcomes = ?counts,
                 open,
                 timers,
@@ -215,57 +221,59 @@
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::RequestReceived(arrival) => self.arrived(*arrival),
-            Input::BodyNotReplayable(id) => self.handle(Event::BodyNotReplayable(id)),
-            Input::BodyComplete(id, deadline) => self.body_whole(id, deadline),
-            Input::ClientDisconnected(id) => self.gone(id),
-            Input::AttemptEnded(id, attempt, ended) => self.attempt_ended(id, attempt, ended),
+            Input::RequestReceived(received) => self.request_received(*received),
+            Input::BodyNotReplayable(id) => self.handle_event(Event::BodyNotReplayable(id)),
+            Input::BodyComplete(id, deadline) => self.body_complete(id, deadline),
+            Input::ClientDisconnected(id) => self.client_disconnected(id),
+            Input::AttemptEnded(id, attempt, result) => self.attempt_ended(id, attempt, result),
             Input::ProbeEnded(endpoint, AttemptResult { outcome, report, .. }, elapsed) => {
-                self.handle(Event::ProbeEnded { endpoint, outcome, elapsed, report });
+                self.handle_event(Event::ProbeEnded { endpoint, outcome, elapsed, report });
             }
-            Input::ListUpdate(news) => self.list(news),
-            Input::ListStatus(status) => self.list_status(status),
-            Input::Restore(snapshot, told) => {
+            Input::ListUpdate(update) => self.apply_list_update(update),
+            Input::ListStatus(status) => self.apply_list_status(status),
+            Input::Restore(snapshot, reply) => {
                 let restored = self.balancer.restore(self.clock.now(), &snapshot);
-                let _ = told.send(restored); // who asked may have given up
+                let _ = reply.send(restored); // the receiver may have given up
             }
             Input::FailOpenRequests => {
-                let open = self.requests.iter().filter(|(_, open)| open.answer.is_some());
+                let open = self.requests.iter().filter(|(_, open)| open.reply.is_some());
                 let open: Vec<RequestId> = open.map(|(id, _)| *id).collect();
                 warn!(requests = open.len(), "giving up what is still open");
                 for id in open {
-                    self.finish(id, FinalResponse::Failed);
-                    self.handle(Event::RequestAbandoned(id));
-                    self.tidy(id);
+                    self.respond(id, FinalResponse::Failed);
+                    self.handle_event(Event::RequestAbandoned(id));
+                    self.remove_if_done(id);
                 }
             }
         }
     }
 
-    fn obey(&mut self, command: Command) {
-        // An answer that nobody waits for any more is nobody's loss.
+    fn handle_command(&mut self, command: Command) {
+        // A reply fails only if its receiver has given up waiting.
         match command {
-            Command::SummarizeEndpoints(told) => {
+            Command::SummarizeEndpoints(reply) => {
                 let down = self.balancer.avoided_endpoints(self.clock.now());
                 let (listed, parts) = (self.addresses.len(), self.overlap.parts());
                 let list = self.list_status;
-                let _ = told.send(EndpointSummary { listed, down, parts, list });
+                let _ = reply.send(EndpointSummary { listed, down, parts, list });
             }
-            Command::SetZoneAdmissions(rights) => self.handle(Event::Zones(rights)),
+            Command::SetZoneAdmissions(admissions) => self.handle_event(Event::Zones(admissions)),
             Command::ProbeZone { zone, count, within } => self.probe_zone(zone, count, within),
             Command::CaptureSnapshot(reply) => drop(reply.send(self.balancer.snapshot(self.clock.now()))),
             Command::PeerConnected { link, is_predecessor, send } => {
-                self.share(|overlap, access| overlap.peer_connected(link, is_predecessor, send, access));
+                self.with_overlap(|overlap, access| {
+                    overlap.peer_connected(link, is_predecessor, send, access)
+                });
             }
             Command::PeerMessage(link, message) => {
-                self.share(|overlap, access| overlap.message_received(link, message, access));
+                self.with_overlap(|overlap, access| overlap.message_received(link, message, access));
             }
             Command::PeerDisconnected(link) => {
                 self.idempotency_keys.import_journals(self.clock.now());
                 let ending = self.lifecycle.state() == State::Terminating;
-                self.share(|overlap, access| overlap.peer_disconnected(link, ending, access));
+                self.with_overlap(|overlap, access| overlap.peer_disconnected(link, ending, access));
             }
             Command::Ban { uid, banned, known_to_peer, reply } => {
                 let _ = reply.send(self.ban(&uid, banned, known_to_peer));
@@ -273,49 +281,51 @@
         }
     }
 
-    fn ban(&mut self, uid: &str, on: bool, known: bool) -> Result<(), &'static str> {
-        if !known
+    fn ban(&mut self, uid: &str, banned: bool, known_to_peer: bool) -> Result<(), &'static str> {
+        if !known_to_peer
             && !self.bans.contains(uid)
             && !self.listing.find(uid).is_some_and(|id| self.addresses.contains_key(&id))
         {
             return Err("no such endpoint");
         }
-        self.bans.set(uid, on).map_err(|e| {
+        self.bans.set(uid, banned).map_err(|e| {
             error!(endpoint = uid, error = %e, "the ban can't be kept on disk");
             "it can't be kept on disk"
         })?;
-        info!(endpoint = uid, detached = on, "ban");
-        self.hold_back(uid, on);
+        info!(endpoint = uid, detached = banned, "ban");
+        self.apply_ban(uid, banned);
         Ok(())
     }
 
-    /// Lets a ban or its end hold from now on.
-    fn hold_back(&mut self, uid: &str, on: bool) {
+    /// Puts a ban, or its end, in force.
+    fn apply_ban(&mut self, uid: &str, banned: bool) {
         let id = self.listing.id(uid);
-        if on {
+        if banned {
             self.banned.insert(id);
             self.outbound.close_idle(id);
         } else {
             self.banned.remove(&id);
         }
-        self.admit(id);
-        self.handle(Event::Ban { endpoint: id, banned: on });
+        self.update_admission(id);
+        self.handle_event(Event::Ban { endpoint: id, banned });
     }
 
-    /// Something new may be written to it from now on where it is listed, does not drain and is not banned.
-    fn admit(&self, id: EndpointId) {
-        let open = !self.banned.contains(&id) && !self.draining.contains(&id);
-        self.outbound.set_admitted(id, self.addresses.get(&id).copied().filter(|_| open));
+    /// Admits new requests to an endpoint if it is listed, not draining and not banned; otherwise forbids
+    /// them.
+    fn update_admission(&self, id: EndpointId) {
+        let admitted = !self.banned.contains(&id) && !self.draining.contains(&id);
+        self.outbound.set_admitted(id, self.addresses.get(&id).copied().filter(|_| admitted));
     }
 
-    fn arrived(&mut self, arrival: ReceivedRequest) {
+    fn request_received(&mut self, received: ReceivedRequest) {
         let ReceivedRequest { mut request, key, deadline, response_timeout, forwarded, reply, client } =
-            arrival;
+            received;
         if client.is_disconnected() {
-            return self.count("client gone"); // while it waited to be looked at
+            return self.count_outcome("client gone"); // while the request was queued
         }
         if let Some(key) = key {
-            // The process beside this one may have been killed just now, and this be the repeat.
+            // The other process may just have been killed, and this may be the repeat of a request that it
+            // sent.
             if self.overlap.has_connected_process()
                 && !self.idempotency_keys.contains(self.clock.now(), key)
             {
@@ -325,52 +335,65 @@
         }
         request.time_left = deadline.saturating_duration_since(Instant::now());
         debug!(request = request.id.0, class = request.class.0, tenant = request.tenant.0, "request");
-        let coming = request.body_incomplete.then_some(response_timeout);
+        let timeout_after_body = request.body_incomplete.then_some(response_timeout);
         let deadline = watch::Sender::new(deadline);
         let class = request.class;
-        let (answer, tries, out, noted) = (Some(reply), Vec::new(), 0, false);
-        let open =
-            Open { forward: forwarded, deadline, coming, answer, client, tries, out, class, key, noted };
+        let (reply, attempts, in_flight, may_forget_key) = (Some(reply), Vec::new(), 0, false);
+        let open = OpenRequest {
+            forwarded,
+            deadline,
+            timeout_after_body,
+            reply,
+            client,
+            attempts,
+            in_flight,
+            class,
+            key,
+            may_forget_key,
+        };
         self.requests.insert(request.id, open);
         self.overlap.request_arrived();
-        self.handle(Event::Request(request));
+        self.handle_event(Event::Request(request));
     }
 
-    /// From now on its time runs, and that of the attempts that are out.
-    fn body_whole(&mut self, id: RequestId, deadline: Instant) {
+    /// Starts the time of a request and of its attempts in flight, now that its body is complete.
+    fn body_complete(&mut self, id: RequestId, deadline: Instant) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         let now = Instant::now();
-        open.coming = None;
+        open.timeout_after_body = None;
         open.deadline.send_replace(deadline);
-        open.tries.iter_mut().filter(|tried| tried.cancel.is_some()).for_each(|tried| tried.sent = now);
+        open.attempts
+            .iter_mut()
+            .filter(|attempt| attempt.cancel.is_some())
+            .for_each(|attempt| attempt.sent_at = now);
         let time_left = deadline.saturating_duration_since(now);
-        self.handle(Event::BodyComplete { request: id, time_left });
+        self.handle_event(Event::BodyComplete { request: id, time_left });
     }
 
-    fn gone(&mut self, id: RequestId) {
+    fn client_disconnected(&mut self, id: RequestId) {
         let Some(open) = self.requests.get_mut(&id) else { return };
-        if open.answer.take().is_some() {
-            self.count("client gone");
-            self.handle(Event::RequestAbandoned(id));
+        if open.reply.take().is_some() {
+            self.count_outcome("client gone");
+            self.handle_event(Event::RequestAbandoned(id));
         }
-        self.tidy(id);
+        self.remove_if_done(id);
     }
 
-    fn attempt_ended(&mut self, id: RequestId, attempt: AttemptNo, ended: AttemptResult) {
+    fn attempt_ended(&mut self, id: RequestId, attempt: AttemptNo, result: AttemptResult) {
         let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some(tried) = open.tries.get_mut(attempt.0 as usize) else { return };
-        if tried.cancel.take().is_none() {
-            return; // its outcome has been told
+        let Some(state) = open.attempts.get_mut(attempt.0 as usize) else { return };
+        if state.cancel.take().is_none() {
+            return; // its outcome was already handled
         }
-        open.out -= 1;
-        let (endpoint, sent) = (tried.endpoint, tried.sent);
-        // Until a body has come whole, no endpoint takes any time over it.
-        let elapsed = if open.coming.is_some() { Duration::ZERO } else { sent.elapsed() };
-        let AttemptResult { outcome, body, report } = ended;
+        open.in_flight -= 1;
+        let (endpoint, sent_at) = (state.endpoint, state.sent_at);
+        // Time before the body is complete is not counted as the endpoint's.
+        let elapsed = if open.timeout_after_body.is_some() { Duration::ZERO } else { sent_at.elapsed() };
+        let AttemptResult { outcome, body, report } = result;
         if !outcome.never_ran() {
-            open.noted = false; // it stays remembered
-        } else if let Some(key) = open.key.filter(|_| open.noted && open.out == 0) {
-            open.noted = false;
+            open.may_forget_key = false; // it may have been processed: the key stays remembered
+        } else if let Some(key) = open.key.filter(|_| open.may_forget_key && open.in_flight == 0) {
+            open.may_forget_key = false;
             self.idempotency_keys.forget_send(key);
         }
         debug!(
@@ -383,15 +406,15 @@
         );
         self.call_observer.attempt_ended((id, attempt), outcome, elapsed);
         if outcome == Outcome::TimedOut {
-            self.outbound.close_idle_since(endpoint, sent);
+            self.outbound.close_idle_since(endpoint, sent_at);
         }
         if outcome == Outcome::Ok {
-            self.finish(id, FinalResponse::Served(body));
+            self.respond(id, FinalResponse::Served(body));
         } else {
-            self.count(outcome_name(outcome));
+            self.count_outcome(outcome_name(outcome));
         }
-        let finished = self.requests.get(&id).is_none_or(|open| open.answer.is_none());
-        self.handle(Event::AttemptEnded(AttemptEnded {
+        let finished = self.requests.get(&id).is_none_or(|open| open.reply.is_none());
+        self.handle_event(Event::AttemptEnded(AttemptEnded {
             request: id,
             attempt,
             endpoint,
@@ -400,32 +423,33 @@
             finished,
             report,
         }));
-        self.tidy(id);
+        self.remove_if_done(id);
     }
 
-    /// Lets the overlap use the balancer, and carries out the actions that it returns.
-    fn share(&mut self, update: impl FnOnce(&mut Overlap, &mut BalancerAccess<'_>)) {
+    /// Gives the overlap access to the balancer, and carries out the actions that result.
+    fn with_overlap(&mut self, update: impl FnOnce(&mut Overlap, &mut BalancerAccess<'_>)) {
         let mut actions = Vec::new();
         let now = self.clock.now();
         let mut access = BalancerAccess { now, balancer: &mut self.balancer, actions: &mut actions };
         update(&mut self.overlap, &mut access);
-        self.settle(actions);
+        self.run_actions(actions);
     }
 
-    /// Gives the module an event and carries out what it wants done, and what comes of that.
-    fn handle(&mut self, event: Event) {
-        self.due.push_back(event);
-        self.settle(Vec::new());
+    /// Passes an event to the balancer, carries out the actions that result, and handles the events they
+    /// cause.
+    fn handle_event(&mut self, event: Event) {
+        self.pending_events.push_back(event);
+        self.run_actions(Vec::new());
     }
 
-    /// Carries out these actions, and what comes of them.
-    fn settle(&mut self, mut actions: Vec<Action>) {
+    /// Carries out actions, and handles the events they cause.
+    fn run_actions(&mut self, mut actions: Vec<Action>) {
         loop {
             for action in actions.drain(..) {
                 self.carry_out(action);
             }
-            let Some(event) = self.due.pop_front() else { return };
-            let about = match &event {
+            let Some(event) = self.pending_events.pop_front() else { return };
+            let ended_request = match &event {
                 Event::AttemptEnded(ended) => Some(ended.request),
                 _ => None,
             };
@@ -433,8 +457,8 @@
             for action in actions.drain(..) {
                 self.carry_out(action);
             }
-            if let Some(id) = about {
-                self.tidy(id);
+            if let Some(id) = ended_request {
+                self.remove_if_done(id);
             }
         }
     }
@@ -443,62 +467,64 @@
         match action {
             Action::Send { request, endpoint, timeout } => self.send(request, endpoint, timeout),
             Action::Refuse { request, retry_after } => {
-                self.finish(request, FinalResponse::Refused(retry_after));
-                self.tidy(request);
+                self.respond(request, FinalResponse::Refused(retry_after));
+                self.remove_if_done(request);
             }
             Action::Fail { request } => {
-                self.finish(request, FinalResponse::Failed);
-                self.tidy(request);
+                self.respond(request, FinalResponse::Failed);
+                self.remove_if_done(request);
             }
             Action::Cancel { request, attempt } => {
-                // The attempt itself tells its end, unless another outcome is already on its way.
+                // The attempt itself reports its end, unless another outcome is already queued.
                 if let Some(open) = self.requests.get_mut(&request)
-                    && let Some(tried) = open.tries.get_mut(attempt.0 as usize)
-                    && let Some(cancel) = &mut tried.cancel
+                    && let Some(state) = open.attempts.get_mut(attempt.0 as usize)
+                    && let Some(cancel) = &mut state.cancel
                 {
-                    let (kept, _) = oneshot::channel();
-                    drop(std::mem::replace(cancel, kept));
+                    let (closed, _) = oneshot::channel();
+                    drop(std::mem::replace(cancel, closed));
                 }
             }
             Action::SetTimer { token, after } => {
                 self.timers.set(token.0, Instant::now() + after);
             }
-            Action::CancelTimer { token } => self.timers.drop(token.0),
-            // These fail only while the process ends.
-            Action::Watch(on) => drop(self.calls.send(ListCommand::Watch(on))),
-            Action::FetchList => drop(self.calls.send(ListCommand::Fetch)),
+            Action::CancelTimer { token } => self.timers.cancel(token.0),
+            // Sending these fails only while the process ends.
+            Action::Watch(on) => drop(self.list_commands.send(ListCommand::Watch(on))),
+            Action::FetchList => drop(self.list_commands.send(ListCommand::Fetch)),
             Action::Probe { endpoint } => self.probe(endpoint),
             Action::CloseIdle { endpoint } => self.outbound.close_idle(endpoint),
             Action::Log(text) => info!(said = text, "module"),
         }
     }
 
-    /// Starts an attempt. What must not be sent is numbered all the same, and ends as moot.
+    /// Starts an attempt. One that must not be sent gets a number too, and ends as [`Outcome::NotSent`].
     fn send(&mut self, id: RequestId, endpoint: EndpointId, timeout: Duration) {
-        let repeats_until = self.balancer.retry_deadline(id);
+        let retry_deadline = self.balancer.retry_deadline(id);
         let Some(open) = self.requests.get_mut(&id) else { return };
         if open.client.is_disconnected() {
-            open.answer = None; // its leaving is still on its way here, behind what came before it
+            open.reply = None; // its `ClientDisconnected` is still queued
         }
-        let (now, attempt) = (Instant::now(), AttemptNo(open.tries.len() as u32));
+        let (now, attempt) = (Instant::now(), AttemptNo(open.attempts.len() as u32));
         let address = self.addresses.get(&endpoint).copied().filter(|_| !self.banned.contains(&endpoint));
         let until = (*open.deadline.borrow()).min(now + timeout);
-        let moot = open.answer.is_none() || open.tries.len() >= self.max_attempts || until <= now;
-        let Some(address) = address.filter(|_| !moot) else {
-            open.tries.push(Try { endpoint, sent: now, cancel: None });
-            self.due.push_back(Event::AttemptEnded(AttemptEnded {
+        let must_not_send =
+            open.reply.is_none() || open.attempts.len() >= self.max_attempts || until <= now;
+        let Some(address) = address.filter(|_| !must_not_send) else {
+            open.attempts.push(Attempt { endpoint, sent_at: now, cancel: None });
+            self.pending_events.push_back(Event::AttemptEnded(AttemptEnded {
                 request: id,
                 attempt,
                 endpoint,
                 outcome: Outcome::NotSent,
                 elapsed: Duration::ZERO,
-                finished: open.answer.is_none(),
+                finished: open.reply.is_none(),
                 report: None,
             }));
-            return self.count(outcome_name(Outcome::NotSent));
+            return self.count_outcome(outcome_name(Outcome::NotSent));
         };
         if let (Some(key), Some((zone, cell))) = (open.key, self.balancer.location(endpoint)) {
-            open.noted |= self.idempotency_keys.record_send(self.clock.now(), key, open.class, zone, cell);
+            open.may_forget_key |=
+                self.idempotency_keys.record_send(self.clock.now(), key, open.class, zone, cell);
         }
         debug!(
             request = id.0,
@@ -509,66 +535,68 @@
             "attempt"
         );
         let (cancel, mut cancelled) = oneshot::channel();
-        open.tries.push(Try { endpoint, sent: now, cancel: Some(cancel) });
-        open.out += 1;
-        // While a body still comes no endpoint takes any time over it.
-        if open.coming.is_none() {
+        open.attempts.push(Attempt { endpoint, sent_at: now, cancel: Some(cancel) });
+        open.in_flight += 1;
+        // Time before the body is complete is not counted as the endpoint's.
+        if open.timeout_after_body.is_none() {
             let zone = || self.balancer.location(endpoint).map(|(zone, _)| zone);
             self.call_observer.attempt_started((id, attempt), open.class, &zone);
         }
-        let request = open.forward.for_endpoint(address);
-        let time_left = match open.coming {
-            Some(time) => TimeLeft::after_body(open.deadline.subscribe(), time),
+        let request = open.forwarded.for_endpoint(address);
+        let time_left = match open.timeout_after_body {
+            Some(response_timeout) => TimeLeft::after_body(open.deadline.subscribe(), response_timeout),
             None => TimeLeft::until(open.deadline.subscribe(), until),
         };
         let mut deadline = open.deadline.subscribe();
         let (outbound, inbox) = (self.outbound.clone(), self.inbox.clone());
-        let begin_by = repeats_until.map(|until| now + until.saturating_sub(self.clock.now()));
+        let begin_by = retry_deadline.map(|until| now + until.saturating_sub(self.clock.now()));
         let conditions = WriteConditions { client: open.client.clone(), begin_by, time_left };
         spawn_local(async move {
             let progress = AttemptProgress::for_request(conditions);
-            let ended = tokio::select! {
+            let result = tokio::select! {
                 biased;
                 _ = &mut cancelled => AttemptResult::from_outcome(Outcome::Cancelled),
-                ended = outbound.attempt(endpoint, address, request, &progress) => ended,
-                () = passed(&mut deadline, until) => AttemptResult::from_outcome(progress.timeout_outcome()),
+                result = outbound.attempt(endpoint, address, request, &progress) => result,
+                () = deadline_passed(&mut deadline, until) => {
+                    AttemptResult::from_outcome(progress.timeout_outcome())
+                }
             };
-            let _ = inbox.send(Input::AttemptEnded(id, attempt, ended));
+            let _ = inbox.send(Input::AttemptEnded(id, attempt, result));
         });
     }
 
-    /// Gives a request its final answer, unless it has had one.
-    fn finish(&mut self, id: RequestId, answer: FinalResponse) {
+    /// Sends the final response of a request, unless it already had one.
+    fn respond(&mut self, id: RequestId, response: FinalResponse) {
         let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some(to) = open.answer.take() else { return };
-        match &answer {
+        let Some(reply) = open.reply.take() else { return };
+        match &response {
             FinalResponse::Served(_) => {}
-            FinalResponse::Refused(wait) => {
-                debug!(request = id.0, reason = "refused", retry_after = ?wait, "final answer");
-                self.count("refused");
+            FinalResponse::Refused(retry_after) => {
+                debug!(request = id.0, reason = "refused", ?retry_after, "final answer");
+                self.count_outcome("refused");
             }
             FinalResponse::Failed => {
                 debug!(request = id.0, reason = "failed", "final answer");
-                self.count("failed");
+                self.count_outcome("failed");
             }
         }
-        let _ = to.send(answer); // fails where the client has just gone
+        let _ = reply.send(response); // fails if the client has just disconnected
     }
 
-    /// Forgets a request that nothing more can be heard of.
-    fn tidy(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|open| open.answer.is_none() && open.out == 0) {
+    /// Removes a request that has its final response and no attempts in flight.
+    fn remove_if_done(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|open| open.reply.is_none() && open.in_flight == 0) {
             self.requests.remove(&id);
         }
     }
 
-    fn count(&mut self, what: &'static str) {
-        *self.unusual.entry(what).or_default() += 1;
+    fn count_outcome(&mut self, outcome: &'static str) {
+        *self.unusual_outcomes.entry(outcome).or_default() += 1;
     }
 }
 
-/// Ends at this time, or at the deadline where that has moved to before it.
-async fn passed(deadline: &mut watch::Receiver<Instant>, until: Instant) {
+/// Returns at this time, or at the deadline if that is moved to an earlier time.
+async fn deadline_passed(deadline: &mut watch::Receiver<Instant>, until: Instant) {
     loop {
         let at = (*deadline.borrow_and_update()).min(until);
         tokio::select! {
--- a/crates/runtime/src/driver/list.rs
+++ b/crates/runtime/src/driver/list.rs
@@ -1,4 +1,5 @@
-//! What the driver does with the endpoint list: addresses, which endpoints may be written to, and until when the list may be used.
+//! Updates of the endpoint list: endpoint addresses, which endpoints new requests may be written to, and
+//! until when the list may be used.
 
 use super::Driver;
 use crate::events::{ListStatus, ListUpdate};
@@ -8,42 +9,44 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-/// A start that lies ahead by less is put down to clocks that differ a little.
-const START_SLACK: Duration = Duration::from_secs(1);
+/// Start times that lie in the future by no more than this are attributed to clock differences between
+/// machines.
+const MAX_START_SKEW: Duration = Duration::from_secs(1);
 
 impl Driver {
-    /// Warns of endpoints whose stated start lies ahead of this machine's clock. The statement itself stays: the module
-    /// counts no start as later than now, and one that was rewritten on each listing would look like a new start each time.
+    /// Warns of endpoints whose listed start time is ahead of this machine's clock. The value itself is not
+    /// corrected: the balancer counts no start as later than now, and a value rewritten in each list would
+    /// look like a restart each time.
     fn warn_of_future_starts(&self, entries: &[EndpointInfo]) {
         let now = self.clock.now();
         for entry in entries {
             let ahead = entry.started.map_or(Duration::ZERO, |started| started.saturating_sub(now));
-            if ahead > START_SLACK {
+            if ahead > MAX_START_SKEW {
                 let endpoint = self.listing.uid(entry.id);
                 warn!(endpoint, field = "boot_ms", ?ahead, "it lies in the future: taken for now");
             }
         }
     }
 
-    /// Applies a list, or a change of one: addresses, what may be written to, and the balancer's membership.
-    pub(super) fn list(&mut self, news: ListUpdate) {
-        for (id, address) in &news.addresses {
+    /// Applies a complete list or a change of it.
+    pub(super) fn apply_list_update(&mut self, update: ListUpdate) {
+        for (id, address) in &update.addresses {
             let before = self.addresses.insert(*id, *address);
             if before.is_some_and(|before| before != *address) {
                 self.outbound.close_idle(*id);
             }
         }
-        let named: Vec<EndpointId> = news.addresses.iter().map(|(id, _)| *id).collect();
+        let updated: Vec<EndpointId> = update.addresses.iter().map(|(id, _)| *id).collect();
         if let Membership::Full(entries) | Membership::Cached(entries) | Membership::Delta(entries) =
-            &news.membership
+            &update.membership
         {
             self.warn_of_future_starts(entries);
         }
-        let (whole, entries) = match &news.membership {
+        let (is_complete, entries) = match &update.membership {
             Membership::Full(entries) | Membership::Cached(entries) => (true, entries),
             Membership::Delta(entries) => (false, entries),
             Membership::Failed | Membership::Refused => {
-                return self.handle(Event::Membership(news.membership));
+                return self.handle_event(Event::Membership(update.membership));
             }
         };
         for entry in entries {
@@ -53,7 +56,7 @@
             };
         }
         for entry in entries.iter().filter(|entry| entry.state != EndpointState::Ready) {
-            // No new request is written to it.
+            // No new requests are written to it.
             self.outbound.close_idle(entry.id);
             let state = if entry.state == EndpointState::Gone { "gone" } else { "draining" };
             info!(endpoint = self.listing.uid(entry.id), state, "endpoint leaves");
@@ -61,7 +64,7 @@
                 self.addresses.remove(&entry.id);
             }
         }
-        if whole {
+        if is_complete {
             let outbound = &self.outbound;
             let listed: HashSet<EndpointId> = entries.iter().map(|entry| entry.id).collect();
             self.addresses.retain(|id, _| {
@@ -74,13 +77,14 @@
             });
             self.draining.retain(|id| listed.contains(id));
         }
-        named.into_iter().for_each(|id| self.admit(id));
-        self.listing.keep(|id| self.addresses.contains_key(&id) || self.banned.contains(&id));
-        self.handle(Event::Membership(news.membership));
+        updated.into_iter().for_each(|id| self.update_admission(id));
+        self.listing.retain(|id| self.addresses.contains_key(&id) || self.banned.contains(&id));
+        self.handle_event(Event::Membership(update.membership));
     }
 
-    /// Behind its expiry nothing new begins by the list that is held, neither chosen nor written.
-    pub(super) fn list_status(&mut self, status: ListStatus) {
+    /// Applies a new status of the list. After the list has expired, no endpoint is chosen from it and no
+    /// request is written on its basis.
+    pub(super) fn apply_list_status(&mut self, status: ListStatus) {
         let before = self.list_status.replace(status).and_then(|before| before.expires_at);
         if let Some(lapsed) = before.filter(|at| *at < Instant::now() && status.expires_at != Some(*at)) {
             let lapsed_ms = lapsed.elapsed().as_millis() as u64;
@@ -92,6 +96,6 @@
         self.outbound.set_list_lease(status.expires_at);
         let left = status.expires_at.map(|at| at.saturating_duration_since(Instant::now()));
         let expires = left.map(|left| self.clock.now() + left);
-        self.handle(Event::ListLease { expires });
+        self.handle_event(Event::ListLease { expires });
     }
 }
--- a/crates/runtime/src/handover/mod.rs
+++ b/crates/runtime/src/handover/mod.rs
@@ -6,7 +6,7 @@
 //! has exited.
 //!
 //! After the descriptor both sides send [`Message`]s:
-//! 1. The predecessor sends its bans and then the successor's allowance of descriptors. From that on the successor runs.
+//! 1. The predecessor sends its bans and then the successor's allowance of descriptors. From then on the successor runs.
 //! 2. Once all else is ready, the successor asks for the learned state.
 //! 3. While both live, a ban that one of them accepts is in force in both before its caller gets an answer, and both
 //!    exchange quota parts (see [`overlap`]).
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,14 +1,15 @@
-//! The sidecar's I/O: sockets, timers, and files. It takes no balancing decisions: the driver turns what happens into
-//! events for `curlewhub-balance`, and carries out the actions that come back.
+//! The sidecar's I/O: sockets, timers, and files. It takes no balancing decisions: the driver turns what
+//! happens into events for `curlewhub-balance`, and carries out the actions that come back.
 //!
-//! - A request: `inbound` reads it, `driver` passes it to the balancer, `outbound` makes the attempts, and the answer
-//!   returns on the same path.
+//! - A request: `inbound` reads it, `driver` passes it to the balancer, `outbound` makes the attempts, and
+//!   the answer returns on the same path.
 //! - The endpoint list: `discovery` or `static_list`, then `listing`.
-//! - State that outlives the process: `endpoint_bans`, `idempotency_keys`, `learned_state`; `handover` passes it on to a
-//!   successor process.
-//! - The process itself: `lifecycle` has its state, `shutdown` its last deadlines, `clock` its time.
+//! - State that outlives the process: `endpoint_bans`, `idempotency_keys`, `learned_state`; `handover`
+//!   passes it on to a successor process.
+//! - The process itself: `lifecycle` has its state, `shutdown` its final deadlines, `clock` its time.
 //!
-//! `events` has the values that pass between these parts, so that they depend on no internals of each other.
+//! `events` has the messages that pass between these parts, so that they depend on no internals of each
+//! other.
 
 mod aged_connections;
 pub mod attempt_terms;
--- a/crates/runtime/src/listing.rs
+++ b/crates/runtime/src/listing.rs
@@ -1,5 +1,5 @@
-//! The endpoint list in the module's terms, and the names behind its numbers. Every source of the list
-//! words it the same way; this is where that wording is turned into the module's.
+//! Translates the endpoint list into the balancer's types, and maps endpoint uids to the balancer's ids.
+//! All sources of the list use the same format.
 
 use crate::events::ListUpdate;
 use curlewhub_balance::{
@@ -13,24 +13,24 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// The names of the endpoints, and of the zones and kinds that they may be of.
+/// The ids of the known endpoints, and the configured names of zones and machine kinds.
 pub struct Listing {
     names: Names,
     ids: RefCell<EndpointNames>,
 }
 
 impl Listing {
-    /// No endpoint yet.
+    /// Without endpoints, for the configured names of zones and machine kinds.
     pub fn new(names: Names) -> Rc<Self> {
         Rc::new(Listing { names, ids: RefCell::default() })
     }
 
-    /// The id of an endpoint of this uid, listed or not.
+    /// The id of the endpoint with this uid, listed or not; assigned if it has none.
     pub fn id(&self, uid: &str) -> EndpointId {
         self.ids.borrow_mut().intern(uid)
     }
 
-    /// The id of the endpoint of this uid, if it is known.
+    /// The id of the endpoint with this uid, if it has one.
     pub fn find(&self, uid: &str) -> Option<EndpointId> {
         self.ids.borrow().find(uid)
     }
@@ -40,24 +40,24 @@
         self.ids.borrow().name(id).to_owned()
     }
 
-    /// Forgets the names of all endpoints but these.
-    pub fn keep(&self, listed: impl Fn(EndpointId) -> bool) {
+    /// Forgets all endpoints except these.
+    pub fn retain(&self, listed: impl Fn(EndpointId) -> bool) {
         self.ids.borrow_mut().retain(listed);
     }
 
-    /// How many names are kept.
-    pub fn names(&self) -> usize {
+    /// The number of endpoints that have an id.
+    pub fn endpoint_count(&self) -> usize {
         self.ids.borrow().len()
     }
 
-    /// A list, whole or of changes, in the module's terms.
+    /// Translates a list, complete or of changes only.
     pub fn update(&self, list: EndpointList) -> ListUpdate {
         let mut ids = self.ids.borrow_mut();
-        let place = |names: &[String], name: &str| {
+        let index = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).unwrap_or(names.len()) as u32
         };
         let (mut entries, mut addresses, mut seen) = (Vec::new(), Vec::new(), HashSet::new());
-        // Of an endpoint named twice the last word counts.
+        // If an endpoint is listed twice, its last entry counts.
         for target in list.targets.into_iter().rev() {
             let id = ids.intern(&target.uid);
             if !seen.insert(id) {
@@ -71,8 +71,8 @@
             addresses.push((id, target.endpoint));
             entries.push(EndpointInfo {
                 id,
-                zone: ZoneId(place(&self.names.zones, &target.az)),
-                machine_kind: MachineKindId(place(&self.names.kinds, &target.model)),
+                zone: ZoneId(index(&self.names.zones, &target.az)),
+                machine_kind: MachineKindId(index(&self.names.kinds, &target.model)),
                 cell: CellId(target.pod_group),
                 state: match target.state {
                     TargetState::Up => EndpointState::Ready,
--- a/crates/runtime/src/static_list.rs
+++ b/crates/runtime/src/static_list.rs
@@ -1,7 +1,8 @@
 //! The endpoint list of the configuration file, for installations without discovery.
 //!
-//! A new list holds at once. What is gone from it is first drained, for as long as a request may take, and
-//! only then leaves; what is new in it, or has moved to another address, is taken for cold.
+//! A new list takes effect at once. An endpoint that was removed from it is first drained, for as long as a
+//! request may take, and only then removed; an endpoint that is new in it, or has another address, counts
+//! as just started (cold).
 
 use crate::clock::Clock;
 use crate::events::{Inbox, Input, ListCommand, ListUpdate};
@@ -15,99 +16,104 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::info;
 
-/// The list, and what is leaving it. Sans I/O: times are passed in.
-struct Held {
+/// The list and the endpoints that are draining after their removal from it. Does no I/O: times are passed
+/// in.
+struct StaticList {
     rev: u64,
     targets: Vec<Target>,
-    /// What was taken from the list, drained until then.
-    leaving: Vec<(Instant, Target)>,
+    /// Endpoints that were removed from the list, and until when they drain.
+    draining: Vec<(Instant, Target)>,
 }
 
-impl Held {
+impl StaticList {
     fn new(targets: Vec<Target>) -> Self {
-        Held { rev: 1, targets, leaving: Vec::new() }
+        StaticList { rev: 1, targets, draining: Vec::new() }
     }
 
-    /// Takes over a new list; `unix_ms` is the time now for what starts with it.
-    fn replace(&mut self, new: Vec<Target>, now: Instant, linger: Duration, unix_ms: f64) {
+    /// Replaces the list. `unix_ms` is the current time: the start time of endpoints that are new or have
+    /// moved.
+    fn replace(&mut self, new: Vec<Target>, now: Instant, drain_time: Duration, unix_ms: f64) {
         self.rev += 1;
         let old = std::mem::take(&mut self.targets);
-        // By name: a file may hold 100,000 endpoints, and traffic waits while it is taken over.
-        let stays: HashSet<&str> = new.iter().map(|target| target.uid.as_str()).collect();
-        self.leaving.retain(|(_, left)| !stays.contains(left.uid.as_str()));
-        let gone = old.iter().filter(|target| !stays.contains(target.uid.as_str()));
-        let drained = gone.map(|target| Target { state: TargetState::Draining, ..target.clone() });
-        self.leaving.extend(drained.map(|target| (now + linger, target)));
+        // Looked up in sets and maps: a file may list 100,000 endpoints, and traffic waits during the
+        // replacement.
+        let listed: HashSet<&str> = new.iter().map(|target| target.uid.as_str()).collect();
+        self.draining.retain(|(_, removed)| !listed.contains(removed.uid.as_str()));
+        let removed = old.iter().filter(|target| !listed.contains(target.uid.as_str()));
+        let drained = removed.map(|target| Target { state: TargetState::Draining, ..target.clone() });
+        self.draining.extend(drained.map(|target| (now + drain_time, target)));
         let before: HashMap<&str, &Target> =
             old.iter().map(|target| (target.uid.as_str(), target)).collect();
-        let known = |target: &Target| {
+        let known_start = |target: &Target| {
             let before =
                 before.get(target.uid.as_str()).filter(|before| before.endpoint == target.endpoint);
             before.map(|before| before.boot_ms)
         };
         self.targets = new
             .into_iter()
-            .map(|target| Target { boot_ms: known(&target).unwrap_or(unix_ms), ..target })
+            .map(|target| Target { boot_ms: known_start(&target).unwrap_or(unix_ms), ..target })
             .collect();
     }
 
-    /// Drops what has been drained for long enough; whether anything has.
+    /// Removes endpoints whose drain has ended. Returns whether there were any.
     fn expire(&mut self, now: Instant) -> bool {
-        let before = self.leaving.len();
-        self.leaving.retain(|(until, _)| *until > now);
-        self.rev += u64::from(self.leaving.len() != before);
-        self.leaving.len() != before
+        let before = self.draining.len();
+        self.draining.retain(|(until, _)| *until > now);
+        self.rev += u64::from(self.draining.len() != before);
+        self.draining.len() != before
     }
 
-    fn next(&self) -> Option<Instant> {
-        self.leaving.iter().map(|(until, _)| *until).min()
+    /// When the next drain ends.
+    fn next_expiry(&self) -> Option<Instant> {
+        self.draining.iter().map(|(until, _)| *until).min()
     }
 
-    fn list(&self) -> EndpointList {
-        let leaving = self.leaving.iter().map(|(_, target)| target);
+    fn to_endpoint_list(&self) -> EndpointList {
+        let draining = self.draining.iter().map(|(_, target)| target);
         EndpointList {
             rev: self.rev,
             is_complete: true,
-            targets: self.targets.iter().chain(leaving).cloned().collect(),
+            targets: self.targets.iter().chain(draining).cloned().collect(),
         }
     }
 }
 
-/// Answers the driver's calls with the list, each with exactly one event, and tells what a reload changes.
-/// `linger` is the longest that a request at an endpoint may still take.
+/// Answers each command that discovery would answer with exactly one update of the list, and sends an
+/// update when a reload replaces the list or a drain ends. `drain_time` is the longest time that a request
+/// at an endpoint may still take.
 pub async fn run(
     targets: Vec<Target>,
-    linger: Duration,
+    drain_time: Duration,
     clock: Clock,
     listing: Rc<Listing>,
-    mut calls: UnboundedReceiver<ListCommand>,
+    mut commands: UnboundedReceiver<ListCommand>,
     inbox: Inbox,
 ) {
-    let mut held = Held::new(targets);
-    let tell = |news| drop(inbox.send(Input::ListUpdate(news))); // fails only while the process ends
+    let mut list = StaticList::new(targets);
+    let send = |update| drop(inbox.send(Input::ListUpdate(update))); // fails only while the process ends
     loop {
-        let until = held.next();
-        let call = tokio::select! {
-            call = calls.recv() => call,
+        let until = list.next_expiry();
+        let command = tokio::select! {
+            command = commands.recv() => command,
             () = sleep_until(until.unwrap_or_else(Instant::now)), if until.is_some() => {
-                if held.expire(Instant::now()) {
-                    tell(listing.update(held.list()));
+                if list.expire(Instant::now()) {
+                    send(listing.update(list.to_endpoint_list()));
                 }
                 continue;
             }
         };
-        match call {
+        match command {
             None => return,
             Some(ListCommand::Watch(_)) => {
-                tell(ListUpdate { membership: Membership::Delta(Vec::new()), addresses: Vec::new() });
+                send(ListUpdate { membership: Membership::Delta(Vec::new()), addresses: Vec::new() });
             }
-            Some(ListCommand::Fetch) => tell(listing.update(held.list())),
-            Some(ListCommand::SetAddress(_)) => {} // there is no discovery to move to
+            Some(ListCommand::Fetch) => send(listing.update(list.to_endpoint_list())),
+            Some(ListCommand::SetAddress(_)) => {} // there is no discovery server
             Some(ListCommand::ReplaceTargets(new)) => {
-                held.replace(new, Instant::now(), linger, clock.now().as_secs_f64() * 1e3);
-                let (endpoints, draining) = (held.targets.len(), held.leaving.len());
-                info!(rev = held.rev, endpoints, draining, "list from the file");
-                tell(listing.update(held.list()));
+                list.replace(new, Instant::now(), drain_time, clock.now().as_secs_f64() * 1e3);
+                let (endpoints, draining) = (list.targets.len(), list.draining.len());
+                info!(rev = list.rev, endpoints, draining, "list from the file");
+                send(listing.update(list.to_endpoint_list()));
             }
         }
     }
@@ -130,32 +136,32 @@
         }
     }
 
-    fn states(held: &Held) -> Vec<(String, TargetState, f64)> {
-        held.list().targets.into_iter().map(|t| (t.uid, t.state, t.boot_ms)).collect()
+    fn states(list: &StaticList) -> Vec<(String, TargetState, f64)> {
+        list.to_endpoint_list().targets.into_iter().map(|t| (t.uid, t.state, t.boot_ms)).collect()
     }
 
     #[test]
-    fn what_goes_is_drained_first_and_what_comes_or_moves_is_cold() {
-        let (now, linger) = (Instant::now(), Duration::from_secs(4));
-        let mut held = Held::new(vec![target("a", 1), target("b", 2), target("c", 3)]);
-        held.replace(vec![target("a", 1), target("b", 9), target("d", 4)], now, linger, 7.0);
+    fn removed_endpoints_drain_first_and_new_or_moved_ones_are_cold() {
+        let (now, drain_time) = (Instant::now(), Duration::from_secs(4));
+        let mut list = StaticList::new(vec![target("a", 1), target("b", 2), target("c", 3)]);
+        list.replace(vec![target("a", 1), target("b", 9), target("d", 4)], now, drain_time, 7.0);
         let up = |uid: &str, boot| (uid.to_owned(), TargetState::Up, boot);
         let drained = ("c".to_owned(), TargetState::Draining, 0.0);
-        assert_eq!(states(&held), [up("a", 0.0), up("b", 7.0), up("d", 7.0), drained]);
-        assert!(!held.expire(now + linger / 2), "it still drains");
-        assert!(held.expire(now + linger));
-        assert_eq!(states(&held), [up("a", 0.0), up("b", 7.0), up("d", 7.0)]);
-        assert_eq!(held.next(), None);
+        assert_eq!(states(&list), [up("a", 0.0), up("b", 7.0), up("d", 7.0), drained]);
+        assert!(!list.expire(now + drain_time / 2), "its drain has not ended");
+        assert!(list.expire(now + drain_time));
+        assert_eq!(states(&list), [up("a", 0.0), up("b", 7.0), up("d", 7.0)]);
+        assert_eq!(list.next_expiry(), None);
     }
 
     #[test]
-    fn what_comes_back_while_it_drains_is_up_again_and_nothing_is_listed_twice() {
-        let (now, linger) = (Instant::now(), Duration::from_secs(4));
-        let mut held = Held::new(vec![target("a", 1), target("b", 2)]);
-        held.replace(vec![target("a", 1)], now, linger, 7.0);
-        held.replace(vec![target("a", 1), target("b", 2)], now, linger, 8.0);
+    fn an_endpoint_listed_again_while_draining_is_up_and_listed_once() {
+        let (now, drain_time) = (Instant::now(), Duration::from_secs(4));
+        let mut list = StaticList::new(vec![target("a", 1), target("b", 2)]);
+        list.replace(vec![target("a", 1)], now, drain_time, 7.0);
+        list.replace(vec![target("a", 1), target("b", 2)], now, drain_time, 8.0);
         let up = |uid: &str, boot| (uid.to_owned(), TargetState::Up, boot);
-        assert_eq!(states(&held), [up("a", 0.0), up("b", 8.0)]);
-        assert_eq!(held.list().rev, 3);
+        assert_eq!(states(&list), [up("a", 0.0), up("b", 8.0)]);
+        assert_eq!(list.to_endpoint_list().rev, 3);
     }
 }
