--- a/crates/curlewhub/src/cli.rs
+++ b/crates/curlewhub/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: commands and flags, without what they do.
+//! The definition of the command line: commands and flags.
 //!
 //! Commands and flags that were renamed accept their earlier name as an alias.
 
@@ -18,12 +18,12 @@
 #[derive(Debug, Parser)]
 #[command(name = "curlewhub", version)]
 pub struct Cli {
-    /// What to do; none where the platform starts the program.
+    /// The command; none where the platform starts the program.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
-/// The commands of the program.
+/// The program's commands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Run a sidecar until SIGTERM or SIGINT.
@@ -50,10 +50,10 @@
     /// Run a consensus server, which replicates the fleet view with the others.
     #[command(visible_alias = "keeper")]
     ConsensusServer {
-        /// Bootstrap a new fleet. Without this flag an empty state directory is refused: a server that lost its raft
-        /// state must not vote.
-        #[arg(long)]
-        begin: bool,
+        /// Bootstrap a new fleet. Without this flag an empty state directory is refused: a server that lost
+        /// its raft state must not vote.
+        #[arg(long = "begin")]
+        bootstrap: bool,
         #[command(flatten)]
         process: ProcessArgs,
     },
@@ -108,8 +108,8 @@
 #[derive(Args, Debug)]
 pub struct CtlArgs {
     /// The sidecar's operator address.
-    #[arg(long, value_name = "ADDR")]
-    pub at: SocketAddr,
+    #[arg(long = "at", value_name = "ADDR")]
+    pub address: SocketAddr,
     /// Print JSON.
     #[arg(long, global = true)]
     pub json: bool,
@@ -121,16 +121,16 @@
 /// A call to a running sidecar.
 #[derive(Debug, Subcommand)]
 pub enum OperatorCall {
-    /// Ask whether it serves.
+    /// Ask whether it is serving.
     Ping,
     /// Print its metrics.
     Info,
-    /// Stop sending to an endpoint.
+    /// Stop sending requests to an endpoint.
     Detach {
         /// The endpoint, by its id in the list.
         id: String,
     },
-    /// Send to a detached endpoint again.
+    /// Resume sending requests to a detached endpoint.
     Attach {
         /// The endpoint, by its id in the list.
         id: String,
--- a/crates/curlewhub/src/cli/fleet.rs
+++ b/crates/curlewhub/src/cli/fleet.rs
@@ -6,27 +6,29 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The shortest interval of a repeated proposal: a probe must not load the consensus servers noticeably.
+/// The shortest interval between repeated proposals: a probe must not noticeably load the consensus
+/// servers.
 const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Arguments of a process of the control plane.
+/// Arguments of a control plane process.
 #[derive(Args, Debug)]
 pub struct ProcessArgs {
-    /// Its configuration file (TOML).
+    /// The process's configuration file (TOML).
     #[arg(long, value_name = "FILE")]
     pub config: PathBuf,
     /// The minimum log level.
     #[arg(long, value_name = "LEVEL", default_value = "info")]
     pub log_level: String,
-    /// Log lines as JSON.
+    /// Write log lines as JSON.
     #[arg(long)]
     pub log_json: bool,
 }
 
-/// The fleet that a command is for.
+/// The fleet that a command applies to.
 #[derive(Args, Debug)]
 pub struct FleetFile {
-    /// A consensus server's or subscriber's file (TOML), for the servers' addresses and the key.
+    /// The configuration file (TOML) of a consensus server or subscriber: for the servers' addresses and
+    /// the key.
     #[arg(long, value_name = "FILE")]
     pub config: PathBuf,
 }
@@ -42,13 +44,13 @@
     pub json: bool,
 }
 
-/// The author of a change, as recorded with it.
+/// The author of a change and the reason for it, which are recorded with it.
 #[derive(Args, Debug)]
 pub struct Author {
-    /// Why.
+    /// The reason for the change.
     #[arg(long)]
     pub why: String,
-    /// Who.
+    /// The author of the change.
     #[arg(long, default_value = "operator")]
     pub by: String,
 }
@@ -56,10 +58,10 @@
 /// Like [`Author`], for records that need no reason.
 #[derive(Args, Debug)]
 pub struct OptionalAuthor {
-    /// Why.
+    /// The reason.
     #[arg(long, default_value = "")]
     pub why: String,
-    /// Who.
+    /// The author.
     #[arg(long, default_value = "operator")]
     pub by: String,
 }
@@ -67,13 +69,14 @@
 /// Commands of `curlewhub fleet`.
 #[derive(Debug, Subcommand)]
 pub enum FleetCommand {
-    /// Subscribe to the fleet view in a process of its own, and log the versions that it applies.
+    /// Subscribe to the fleet view in a separate process, and log the versions that it applies.
     Follow(ProcessArgs),
-    /// Print the status of each consensus server; exits with 1 where no majority is reached.
+    /// Print the status of each consensus server; exits with 1 if no majority is reached.
     Status(ReportArgs),
-    /// Print the members (alive, suspected or gone), as known to the consensus server that knows most of them.
+    /// Print the members (alive, suspected or gone), as known to the consensus server that knows the most
+    /// members.
     Members(ReportArgs),
-    /// Print the newest record of each key.
+    /// Print the latest record of each key.
     Log(ReportArgs),
     /// Add or remove a voting consensus server, one at a time.
     #[command(visible_alias = "keepers")]
@@ -89,7 +92,7 @@
     /// Override the automatic failover of a zone or region.
     #[command(subcommand, visible_alias = "hall")]
     Zone(ZoneCommand),
-    /// Change the sidecars' configuration, see how far a change is rolled out, and roll it back.
+    /// Change the sidecars' configuration, show the progress of its rollout, and roll it back.
     #[command(subcommand)]
     Config(RolloutCommand),
     /// Stop all automatic zone transitions; --off resumes them.
@@ -102,10 +105,11 @@
         #[command(flatten)]
         author: Author,
     },
-    /// Propose a record of any kind, unchecked: to try a build that knows more kinds than this one.
+    /// Propose a record of any kind without validation: for testing a build that supports more kinds than
+    /// this one.
     #[command(hide = true)]
     Propose(RecordArgs),
-    /// Propose a note, which changes nothing: shows whether proposals are committed and applied.
+    /// Propose a note, which changes nothing, to test whether proposals are committed and applied.
     Note(NoteArgs),
 }
 
@@ -148,13 +152,13 @@
 /// An operator override of a zone or region.
 #[derive(Debug, Subcommand)]
 pub enum ZoneCommand {
-    /// Leave it at once: requests in flight are completed or called off, and new ones are sent elsewhere.
+    /// Leave it at once: requests in flight are completed or cancelled, and new ones are sent elsewhere.
     Leave(OverrideArgs),
     /// Return to it, step by step.
     Return(OverrideArgs),
-    /// Keep it in its present state.
+    /// Keep it in its current state.
     Hold(OverrideArgs),
-    /// End the override: its failover is automatic again.
+    /// End the override and resume automatic failover.
     Release(OverrideArgs),
 }
 
@@ -166,16 +170,16 @@
     /// The fleet.
     #[command(flatten)]
     pub fleet: FleetFile,
-    /// Why.
+    /// The reason for the override.
     #[arg(long, required_unless_present = "dry_run")]
     pub why: Option<String>,
-    /// Who.
+    /// The author of the override.
     #[arg(long, default_value = "operator")]
     pub by: String,
-    /// Only print what it would do to each other zone.
+    /// Only print how it would affect each other zone.
     #[arg(long)]
     pub dry_run: bool,
-    /// When the override expires, unless it is renewed.
+    /// How long the override lasts, unless it is renewed.
     #[arg(long = "for", value_name = "TIME", default_value = "1h", value_parser = humantime::parse_duration)]
     pub duration: Duration,
 }
@@ -185,7 +189,7 @@
 pub enum VoterChange {
     /// Add a server that runs with `joins = true` and that the others' files name.
     Add {
-        /// Its raft id, which no server has had before.
+        /// Its raft id, which no server has used before.
         id: u64,
     },
     /// Remove a server; its raft id is never used again.
@@ -195,21 +199,21 @@
     },
 }
 
-/// Why an interval is refused.
+/// Why an interval is rejected.
 #[derive(Debug, Error)]
 pub enum IntervalError {
-    /// It is not a time with a unit.
+    /// The text is not a duration with a unit.
     #[error(transparent)]
     Malformed(#[from] humantime::DurationError),
-    /// It is below the minimum, 10 ms.
+    /// The interval is below the minimum of 10 ms.
     #[error("allowed: 10ms or more")]
     TooShort,
 }
 
-/// Parses a time with its unit, 10 ms or more.
+/// Parses a duration with a unit, 10 ms or more.
 ///
 /// # Errors
-/// The text is no time, or the time is too short.
+/// The text is not a duration, or the duration is too short.
 pub fn parse_interval(text: &str) -> Result<Duration, IntervalError> {
     let interval = humantime::parse_duration(text)?;
     if interval >= MIN_PROBE_INTERVAL { Ok(interval) } else { Err(IntervalError::TooShort) }
--- a/crates/curlewhub/src/cli/rollout.rs
+++ b/crates/curlewhub/src/cli/rollout.rs
@@ -9,7 +9,7 @@
 /// Commands of `curlewhub fleet config`.
 #[derive(Debug, Subcommand)]
 pub enum RolloutCommand {
-    /// Print the newest settings that the fleet has decided, and their number.
+    /// Print the fleet's newest committed settings and their number.
     Show(ReportArgs),
     /// Print all errors of settings, without calling a consensus server.
     Validate {
@@ -18,20 +18,22 @@
     },
     /// Change settings, in the canary first and then everywhere.
     Propose(Box<ProposeArgs>),
-    /// Propose a change repeatedly until SIGTERM and print a line for each: a probe of a fleet, for trials.
+    /// Propose a change repeatedly until SIGTERM, and print a line for each proposal: a probe for testing a
+    /// fleet.
     #[command(hide = true)]
     Probe {
         #[command(flatten)]
         propose: Box<ProposeArgs>,
-        /// The interval.
+        /// The interval between proposals.
         #[arg(long, value_name = "TIME", value_parser = parse_interval)]
         every: Duration,
     },
-    /// Print how far a change is rolled out, who refuses it and why; exits with 1 until all have it.
+    /// Print the progress of a rollout, and which sidecars refuse it and why; exits with 1 until all have
+    /// it in force.
     Status {
         #[command(flatten)]
         report: ReportArgs,
-        /// Wait up to this long until the rollout is settled.
+        /// Wait up to this long for the rollout to settle.
         #[arg(long, value_name = "TIME", value_parser = humantime::parse_duration)]
         wait: Option<Duration>,
     },
@@ -49,7 +51,7 @@
     /// A setting by its path, such as log.level=debug; may be repeated.
     #[arg(long = "set", value_name = "FIELD=VALUE", value_parser = parse_setting)]
     set: Vec<(String, String)>,
-    /// A setting that returns to each sidecar's own value; may be repeated.
+    /// A setting that reverts to each sidecar's own value; may be repeated.
     #[arg(long, value_name = "FIELD")]
     unset: Vec<String>,
     /// Only in this zone, where it takes precedence over what is set everywhere.
@@ -63,7 +65,7 @@
     /// The fleet.
     #[command(flatten)]
     pub fleet: FleetFile,
-    /// The configuration's number; by default the one that is being rolled out.
+    /// The configuration's number; by default the one being rolled out.
     #[arg(long)]
     pub number: Option<u64>,
     /// Its author.
@@ -71,7 +73,7 @@
     pub author: Author,
 }
 
-/// A change of settings and how it is rolled out.
+/// A change of settings and its rollout plan.
 #[derive(Args, Debug)]
 pub struct ProposeArgs {
     /// The fleet.
@@ -79,7 +81,8 @@
     pub fleet: FleetFile,
     #[command(flatten)]
     changes: SettingChanges,
-    /// The number that the change is based on; refused where it is not the newest any more.
+    /// The number of the configuration that the change is based on; the change is rejected if that is no
+    /// longer the newest.
     #[arg(long)]
     pub base: Option<u64>,
     /// The stages.
@@ -90,34 +93,36 @@
     pub author: Author,
 }
 
-/// The stages of a rollout and what rolls it back.
+/// The stages of a rollout and the limits that trigger a rollback.
 #[derive(Args, Debug)]
 pub struct PlanArgs {
     /// A zone whose sidecars are all in the canary; may be repeated.
     #[arg(long, value_name = "ZONE", conflicts_with = "everywhere")]
     canary_zone: Vec<String>,
-    /// This many in 1000 sidecars are in the canary, in any zone; 100 where no zone is named, else 0.
+    /// The number of sidecars per 1000 in the canary, in any zone; 100 if no zone is named, otherwise 0.
     #[arg(long, value_name = "PART", conflicts_with = "everywhere")]
     canary_per_mille: Option<u16>,
     /// Roll it out everywhere at once.
     #[arg(long)]
     everywhere: bool,
-    /// How long the canary has it in force before all others get it.
+    /// How long the canary has it in force before it is rolled out to all others.
     #[arg(long, value_name = "TIME", value_parser = humantime::parse_duration)]
     soak: Option<Duration>,
-    /// After this time the canary is halted, and stragglers of the last stage are no longer waited for.
+    /// The time limit of a stage: the canary is halted after it, and the last stage stops waiting for
+    /// stragglers.
     #[arg(long, value_name = "TIME", value_parser = humantime::parse_duration)]
     stage: Option<Duration>,
-    /// Roll back where more than this many in 1000 sidecars refuse it.
+    /// Roll back if more than this many sidecars per 1000 refuse it.
     #[arg(long, value_name = "PART", visible_alias = "refused-most")]
     max_refused: Option<u16>,
-    /// Roll back where calls from the canary's zones fail by more than this many in 1000 above the others.
+    /// Roll back if the failure rate of calls from the canary's zones exceeds that of the others by more
+    /// than this many per 1000.
     #[arg(long, value_name = "PART", visible_alias = "failed-most")]
     max_failed: Option<u16>,
 }
 
 impl PlanArgs {
-    /// The rollout plan, with defaults for what was not given.
+    /// The rollout plan, with defaults for omitted arguments.
     pub fn plan(&self) -> RolloutPlan {
         let default = RolloutPlan::default();
         let per_mille = match self.canary_per_mille {
@@ -135,13 +140,13 @@
     }
 }
 
-/// In milliseconds, saturating at the plan's limit.
+/// Converts a duration to milliseconds, saturating at the largest value that a plan can hold.
 fn millis(duration: Duration) -> u32 {
     u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
 
 impl ProposeArgs {
-    /// The newest settings with the changes applied.
+    /// Returns the newest settings with the changes applied.
     pub fn settings(&self, newest: &Settings) -> Settings {
         let mut settings = newest.clone();
         self.changes.apply(&mut settings);
@@ -155,7 +160,7 @@
 }
 
 impl SettingChanges {
-    /// Applies the changes. Zones without settings of their own are dropped.
+    /// Applies the changes. Zones that are left without settings of their own are removed.
     pub fn apply(&self, settings: &mut Settings) {
         let values = settings.part_mut(self.zone.as_deref());
         for field in &self.unset {
@@ -166,7 +171,7 @@
     }
 }
 
-/// A `--set` without `=`.
+/// The value of `--set` has no `=`.
 #[derive(Debug, Error)]
 #[error("allowed: FIELD=VALUE")]
 pub struct SettingSyntaxError;
--- a/crates/curlewhub/src/cli/settings.rs
+++ b/crates/curlewhub/src/cli/settings.rs
@@ -28,17 +28,18 @@
 }
 
 impl SettingsArgs {
-    /// Reads the file with these values over it. Precedence: flag, environment, file, default.
+    /// Reads the file and applies the overrides. Precedence: flag, environment, file, default.
     ///
     /// # Errors
-    /// Everything that is wrong with the result.
+    /// All errors of the resulting configuration.
     pub fn load(&self, path: &Path) -> Result<LoadedConfig, Problems> {
         let mut overrides = environment_overrides();
         overrides.extend(self.flag_overrides());
         LoadedConfig::from_file(path, overrides)
     }
 
-    /// In the order of the flags' precedence: a later one replaces an earlier one.
+    /// The overrides given as flags, in order of increasing precedence: a later one replaces an earlier
+    /// one.
     fn flag_overrides(&self) -> Vec<Override> {
         let flags = [
             ("name", &self.name, "--name"),
@@ -68,7 +69,7 @@
     ];
     let set = variables.into_iter().filter_map(|(field, name)| {
         let text = std::env::var(name).ok()?;
-        // An empty RUST_LOG counts as unset, as in other programs that read it.
+        // An empty RUST_LOG counts as unset, as in other programs that use this variable.
         let is_set = name != "RUST_LOG" || !text.is_empty();
         is_set.then(|| field_override(field, &text, &format!("${name}")))
     });
--- a/crates/curlewhub/src/ctl.rs
+++ b/crates/curlewhub/src/ctl.rs
@@ -1,4 +1,4 @@
-//! `curlewhub ctl`: calls to a running sidecar by the operators' line protocol, one line a connection.
+//! `curlewhub ctl`: calls a running sidecar over the operator line protocol, with one call per connection.
 
 use crate::cli::{CtlArgs, OperatorCall};
 use crate::output::{Exit, fail};
@@ -8,24 +8,25 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Deadline of a call. A sidecar answers within 1 s, so one that has not by now is dead, hung or no curlewhub.
+/// Deadline of a call. A sidecar answers within 1 s; a peer that has not answered by then has crashed, is
+/// hung or is not a curlewhub sidecar.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1800);
-/// Longest answer, in bytes: each request class takes three lines of metrics.
+/// Maximum length of an answer, in bytes: the metrics take three lines per request class.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
 /// Why a call failed.
 #[derive(Debug, Error)]
 enum CallError {
-    /// An id with a line break would be read as two calls.
-    #[error("an id is one line")]
+    /// An id with a line break would be parsed as two calls.
+    #[error("an endpoint id must not contain a line break")]
     MultilineId,
     #[error("nobody listens there")]
     Refused,
     #[error("no answer within {} ms", CALL_TIMEOUT.as_millis())]
     TimedOut,
-    #[error("it closed without an answer")]
+    #[error("connection closed without an answer")]
     ClosedEarly,
-    #[error("too long an answer")]
+    #[error("answer exceeds {} bytes", MAX_ANSWER_BYTES)]
     TooLong,
     #[error(transparent)]
     Io(io::Error),
@@ -41,7 +42,7 @@
     }
 }
 
-/// An answer for people and for programs.
+/// The result of a call, as text and as JSON.
 struct Report {
     exit: Exit,
     text: String,
@@ -60,10 +61,10 @@
 
 /// Makes the call and prints its answer.
 pub fn run(ctl: &CtlArgs) -> Exit {
-    let report = match call(ctl.at, &request_line(&ctl.call)) {
+    let report = match call(ctl.address, &request_line(&ctl.call)) {
         Ok(answer) => parse_answer(&answer),
         Err(error) => {
-            let problem = format!("{}: {error}", ctl.at);
+            let problem = format!("{}: {error}", ctl.address);
             Report::failed(problem.clone(), &problem)
         }
     };
@@ -94,13 +95,13 @@
         ("YES", _) => Report::done("yes", json!({"ok": true})),
         ("NO", reason) => Report::failed(format!("no: {reason}"), reason),
         _ => {
-            let problem = "what came back is no answer: is this an operators' address?";
+            let problem = "unexpected answer; is this a sidecar's operator address?";
             Report::failed(problem.to_owned(), problem)
         }
     }
 }
 
-/// Metrics by name from lines of `name:value|kind`; a value that is no number becomes null.
+/// Parses lines of `name:value|kind` into metrics by name; a value that is not a number becomes null.
 fn parse_metrics(lines: &str) -> Map<String, Value> {
     let metrics = lines.lines().filter_map(|line| {
         let (name, rest) = line.split_once(':')?;
@@ -110,7 +111,7 @@
     metrics.collect()
 }
 
-/// Sends a line and reads the whole answer, all within one deadline.
+/// Sends a line and reads the whole answer within one deadline.
 fn call(address: SocketAddr, line: &str) -> Result<String, CallError> {
     let deadline = Instant::now() + CALL_TIMEOUT;
     if line.trim_end().contains(['\n', '\r']) {
@@ -142,7 +143,7 @@
     }
 }
 
-/// The time until the deadline; a socket's timeout must not be zero.
+/// Returns the time until the deadline; zero is an error because a socket timeout must not be zero.
 fn remaining(deadline: Instant) -> Result<Duration, CallError> {
     let remaining = deadline.saturating_duration_since(Instant::now());
     if remaining.is_zero() { Err(CallError::TimedOut) } else { Ok(remaining) }
--- a/crates/curlewhub/src/fleet/config.rs
+++ b/crates/curlewhub/src/fleet/config.rs
@@ -76,7 +76,8 @@
     propose_from(config, args, &status).await
 }
 
-/// Proposes the change on top of the newest settings of this status, or of the given base.
+/// Proposes the change, applied to the newest settings of this status. Its base is the one given in the
+/// arguments, or else the newest configuration.
 async fn propose_from(
     config: &FleetConfig,
     args: &ProposeArgs,
@@ -89,7 +90,7 @@
     commit(config, action, &args.author, base.next()).await
 }
 
-/// Proposes a change at each interval until SIGTERM, and prints a line for each.
+/// Proposes a change at each interval until SIGTERM, and prints a line for each proposal.
 async fn probe(config: &FleetConfig, args: &ProposeArgs, every: Duration) -> Result<Exit, FleetError> {
     let propose = async || {
         let status = read_status(config).await.map_err(FleetError::Call)?;
@@ -108,7 +109,7 @@
     })
 }
 
-/// Has a command committed and prints its version.
+/// Submits a command to be committed, and prints its version.
 async fn commit(
     config: &FleetConfig,
     action: ConfigAction,
--- a/crates/curlewhub/src/fleet/config_status.rs
+++ b/crates/curlewhub/src/fleet/config_status.rs
@@ -1,4 +1,4 @@
-//! `fleet config status`: how far a rollout is.
+//! `fleet config status`: the progress of a rollout.
 
 use super::session::FleetError;
 use crate::output::{Exit, print};
@@ -12,10 +12,12 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// How often the status is read while it is waited for: the leader's coordinator evaluates reports as often.
+/// Interval between reads of the status while waiting: the leader's coordinator evaluates reports at the
+/// same interval.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Prints the status, once the rollout is settled or the wait is over. Fails unless all sidecars have their configuration.
+/// Prints the status once the rollout is settled or the wait is over. Returns `Exit::Failed` unless all
+/// sidecars have their configuration in force.
 pub async fn print_status(
     config: &FleetConfig,
     json: bool,
@@ -34,7 +36,7 @@
     Ok(if is_in_force(&status) { Exit::Done } else { Exit::Failed })
 }
 
-/// Whether the leader reports that nothing more will change by itself.
+/// Whether the leader reports a state in which nothing more will change automatically.
 fn is_settled(status: &ConfigStatus) -> bool {
     status.leads && (is_in_force(status) || matches!(status.rollout.phase, Phase::Halted { .. }))
 }
@@ -49,7 +51,7 @@
     let rollout = &status.rollout;
     let mut text = format!("configuration {}: {}\n", rollout.target.number, rollout.phase);
     if let Some(pending) = &rollout.pending {
-        text += &format!("configuration {} waits\n", pending.content.number);
+        text += &format!("configuration {} is pending\n", pending.content.number);
     }
     let stage = &status.census.stage;
     text += &format!("in force at {} of {} sidecars of this stage\n", stage.in_force, stage.total());
--- a/crates/curlewhub/src/fleet/log.rs
+++ b/crates/curlewhub/src/fleet/log.rs
@@ -1,4 +1,4 @@
-//! `fleet log`: the newest record of each key of the fleet view.
+//! `fleet log`: the latest record of each key of the fleet view.
 
 use super::session::FleetError;
 use crate::output::{Exit, print};
--- a/crates/curlewhub/src/fleet/members.rs
+++ b/crates/curlewhub/src/fleet/members.rs
@@ -1,4 +1,4 @@
-//! `fleet members`: the processes of a fleet, by SWIM membership.
+//! `fleet members`: the processes of a fleet, as known to the SWIM membership protocol.
 
 use super::session::FleetError;
 use crate::output::{Exit, print};
--- a/crates/curlewhub/src/fleet/probe.rs
+++ b/crates/curlewhub/src/fleet/probe.rs
@@ -1,4 +1,4 @@
-//! Repeated proposals, which show whether the consensus servers commit.
+//! Repeated proposals, as a probe of whether the consensus servers commit them.
 
 use super::session::FleetError;
 use super::signals::Shutdown;
@@ -6,7 +6,8 @@
 use std::time::Duration;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Proposes at each interval until shutdown. `propose` prints what is committed; a failure is printed here, as one line.
+/// Proposes at each interval until shutdown. `propose` prints what is committed; a failure is printed here,
+/// as one line.
 pub async fn repeat(
     every: Duration,
     mut shutdown: Shutdown,
--- a/crates/curlewhub/src/fleet/process.rs
+++ b/crates/curlewhub/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! Processes of the control plane: a consensus server, and a subscriber without a sidecar.
+//! Control plane processes: a consensus server, and a subscriber without a sidecar.
 
 use super::session::block_on;
 use super::signals::{Shutdown, SignalError, terminate_or_interrupt};
@@ -16,7 +16,7 @@
 use thiserror::Error;
 use tracing::info;
 
-/// Why a process ended before it was asked to.
+/// Why a process could not start, or ended without being signalled.
 #[derive(Debug, Error)]
 enum ProcessError {
     #[error(transparent)]
@@ -55,7 +55,7 @@
     fn status_changed(&mut self, _: SubscriberStatus) {}
 }
 
-/// Reads the file, starts the log and runs a process until it ends or is signalled.
+/// Reads the configuration file, starts the log and runs a process until it ends or is signalled.
 fn run(
     process: &ProcessArgs,
     body: impl AsyncFnOnce(&FleetConfig, Shutdown) -> Result<(), ProcessError>,
@@ -70,9 +70,9 @@
         Ok(logs) => logs,
         Err(error) => return reject_usage(format_args!("--log-level: {error}")),
     };
-    let ended = block_on(async { body(&config, terminate_or_interrupt()?).await });
+    let result = block_on(async { body(&config, terminate_or_interrupt()?).await });
     drop(logs); // writes queued lines before the error below
-    match ended.map_err(ProcessError::Runtime).and_then(|ended| ended) {
+    match result.map_err(ProcessError::Runtime).and_then(|result| result) {
         Ok(()) => Exit::Done,
         Err(error) => fail(error),
     }
--- a/crates/curlewhub/src/fleet/proposals.rs
+++ b/crates/curlewhub/src/fleet/proposals.rs
@@ -1,4 +1,4 @@
-//! Commands that propose a record as it is: `fleet freeze`, `fleet propose` and `fleet note`.
+//! Commands that propose a single record: `fleet freeze`, `fleet propose` and `fleet note`.
 
 use super::probe;
 use super::session::FleetError;
@@ -10,7 +10,7 @@
 use curlewhub_control_plane_node::config::FleetConfig;
 use curlewhub_zone_failover::zone_states::{FREEZE_KEY, Freeze};
 
-/// A proposal with a new random id, which deduplicates its retries.
+/// Creates a proposal with a new random id, by which the consensus servers deduplicate its retries.
 pub fn proposal(key: &str, kind: RecordKind, body: Vec<u8>, by: &str, why: &str) -> Proposal {
     Proposal {
         id: rand::random(),
@@ -23,7 +23,7 @@
     }
 }
 
-/// Has a proposal committed and prints its version.
+/// Submits a proposal to be committed, and prints its version.
 pub async fn commit(config: &FleetConfig, proposal: &Proposal) -> Result<Exit, FleetError> {
     let version = admin_client::propose(config, proposal).await.map_err(FleetError::Call)?;
     Ok(print(&format!("decided as version {version}\n")))
@@ -47,7 +47,7 @@
     let Some(every) = note.every else {
         return commit(config, &note_proposal(note)).await;
     };
-    // The outcome of a probe's first proposal is not printed: it may include the time until a leader is found.
+    // The first proposal of a probe is not reported: it may include the time until a leader is found.
     let _ = admin_client::propose(config, &note_proposal(note)).await;
     let shutdown = terminate_or_interrupt()?;
     Ok(probe::repeat(every, shutdown, async || commit(config, &note_proposal(note)).await).await)
--- a/crates/curlewhub/src/fleet/servers.rs
+++ b/crates/curlewhub/src/fleet/servers.rs
@@ -7,7 +7,7 @@
 use curlewhub_control_plane_node::config::FleetConfig;
 use serde_json::json;
 
-/// Prints the status of each server. Fails where no majority is reached.
+/// Prints the status of each server. Returns `Exit::Failed` if no majority is reached.
 pub async fn print_status(config: &FleetConfig, json: bool) -> Result<Exit, FleetError> {
     let servers = describe_servers(config).await;
     let reached = servers.iter().filter(|(_, described)| described.is_ok()).count();
@@ -50,5 +50,5 @@
         VoterChange::Remove { id } => (id, false),
     };
     change_voters(config, id, add).await.map_err(FleetError::Call)?;
-    Ok(print("under way; `fleet status` shows when it holds\n"))
+    Ok(print("voter change started; `fleet status` shows when it is complete\n"))
 }
--- a/crates/curlewhub/src/fleet/session.rs
+++ b/crates/curlewhub/src/fleet/session.rs
@@ -1,4 +1,5 @@
-//! What each command of `curlewhub fleet` needs: the fleet's file, a runtime, and its errors.
+//! Shared by the commands of `curlewhub fleet`: reads the fleet's file, runs the command on a runtime, and
+//! defines its errors.
 
 use super::signals::SignalError;
 use crate::cli::fleet::FleetFile;
@@ -11,21 +12,21 @@
 /// Why a command of `curlewhub fleet` failed.
 #[derive(Debug, Error)]
 pub enum FleetError {
-    /// The consensus servers did not do what they were asked.
+    /// A call to the consensus servers failed or was rejected.
     #[error("{0}")]
     Call(String),
     /// No consensus server answered.
-    #[error("no consensus server is reached")]
+    #[error("no consensus server can be reached")]
     Unreachable,
     /// The fleet has no zone or region of this name.
-    #[error("`{name}` is no zone or region of this fleet; known: {}", known.join(", "))]
+    #[error("`{name}` is not a zone or region of this fleet; known: {}", known.join(", "))]
     UnknownZone {
         /// The name.
         name: String,
         /// The names of all zones and regions.
         known: Vec<String>,
     },
-    /// A proposed configuration is the one in force.
+    /// The proposed settings are the newest settings.
     #[error("set: it is so already; allowed: --set or --unset of what differs")]
     Unchanged,
     /// A signal handler could not be installed.
@@ -49,7 +50,7 @@
     }
 }
 
-/// Runs a task on a runtime of its own, on this thread.
+/// Runs a task on a new runtime, on this thread.
 ///
 /// # Errors
 /// The runtime could not be built.
--- a/crates/curlewhub/src/fleet/signals.rs
+++ b/crates/curlewhub/src/fleet/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that end a command or a process of the control plane.
+//! The signals that end a command or a control plane process.
 
 use std::io;
 use std::pin::Pin;
--- a/crates/curlewhub/src/fleet/zone_override.rs
+++ b/crates/curlewhub/src/fleet/zone_override.rs
@@ -1,4 +1,4 @@
-//! `fleet zone …`: operator overrides of zone failover, and what one would do.
+//! `fleet zone …`: operator overrides of zone failover, and the preview of their effect.
 
 use super::proposals::{commit, proposal};
 use super::session::{FleetError, with_fleet};
@@ -26,7 +26,7 @@
     with_fleet(&args.fleet, async |config| override_zone(config, action, args).await)
 }
 
-/// Proposes an override of a zone, a region or a tier of a zone, or prints what it would do.
+/// Proposes an override of a zone, a region or a tier of a zone, or with `--dry-run` prints its effect.
 async fn override_zone(
     config: &FleetConfig,
     action: OverrideAction,
@@ -37,14 +37,14 @@
     if args.dry_run {
         return Ok(print(&dry_run_text(&zones, action, &plan)));
     }
-    let order = OperatorOverride { action, expires_unix_ms: expiry_unix_ms(args.duration) };
-    let body = serde_json::to_vec(&order).unwrap_or_default();
+    let operator_override = OperatorOverride { action, expires_unix_ms: expiry_unix_ms(args.duration) };
+    let body = serde_json::to_vec(&operator_override).unwrap_or_default();
     let key = format!("{OVERRIDE_KEY_PREFIX}{}", args.name);
     let why = args.why.as_deref().unwrap_or_default();
     commit(config, &proposal(&key, RecordKind::ZONE_STATES, body, &args.by, why)).await
 }
 
-/// In milliseconds of Unix time: consensus servers compare it with their own wall clocks.
+/// The expiry in milliseconds of Unix time: consensus servers compare it with their own wall clocks.
 fn expiry_unix_ms(duration: Duration) -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     now.as_millis() as u64 + duration.as_millis() as u64
@@ -60,16 +60,21 @@
 fn dry_run_text(zones: &ZoneList, action: OverrideAction, plan: &EvacuationPlan) -> String {
     let targets = plan.left.join(", ");
     match action {
-        OverrideAction::Hold => format!("{targets}: would stay in the present state, whatever is seen\n"),
-        OverrideAction::Release => format!("{targets}: would be moved automatically again\n"),
+        OverrideAction::Hold => {
+            format!("{targets}: would stay in the current state, whatever the evidence\n")
+        }
+        OverrideAction::Release => format!("{targets}: automatic failover would resume\n"),
         OverrideAction::Return => {
-            format!("would be returned to by steps, as they are left now: {}\n", left_targets(zones, plan))
+            format!(
+                "would be returned to step by step (those that are left now): {}\n",
+                left_targets(zones, plan)
+            )
         }
         OverrideAction::Leave => evacuation_text(zones, plan),
     }
 }
 
-/// The names of the override's targets that are left at present.
+/// The names of the override's targets that are in the state `Left`.
 fn left_targets(zones: &ZoneList, plan: &EvacuationPlan) -> String {
     let left = zones.zones.iter().filter(|zone| zone.state == ZoneState::Left);
     let names: Vec<&str> =
@@ -80,9 +85,12 @@
 /// The load that leaving the targets would move to each other zone.
 fn evacuation_text(zones: &ZoneList, plan: &EvacuationPlan) -> String {
     let mut text =
-        format!("{}: {:.1} calls a second would be sent elsewhere", plan.left.join(", "), plan.moves_per_s);
+        format!("{}: {:.1} calls/s would be sent elsewhere", plan.left.join(", "), plan.moves_per_s);
     if plan.refused_per_s > 0.0 {
-        text += &format!(", and {:.1} be refused, as no other zone has their tier", plan.refused_per_s);
+        text += &format!(
+            ", and {:.1} calls/s would be refused because no other zone has their tier",
+            plan.refused_per_s
+        );
     }
     let (remaining, minimum) = (plan.stays * 100.0, zones.min_remaining_capacity * 100.0);
     text += &format!("\n{remaining:.0}% of the known capacity remains");
--- a/crates/curlewhub/src/fleet/zones.rs
+++ b/crates/curlewhub/src/fleet/zones.rs
@@ -8,11 +8,13 @@
 use curlewhub_zone_failover::zone_states::ZoneState;
 use serde_json::json;
 
-/// Columns of the table: calls a second now and as baseline, the share lost, the latency ratio, and the witnesses.
+/// Columns of the table. `calls/s` is the current rate and `baseline/s` the usual one; `lost` is the share
+/// of calls lost, `latency` the ratio to the baseline latency, `witnesses` the sidecars with evidence and
+/// `losing` those that lose calls.
 const HEADER: [&str; 10] =
     ["zone", "region", "state", "calls/s", "baseline/s", "lost", "latency", "witnesses", "losing", "why"];
 
-/// Prints the zones as the leader, or else any server, reports them.
+/// Prints the zones as reported by the leader, or else by any server.
 pub async fn print_zones(config: &FleetConfig, json: bool) -> Result<Exit, FleetError> {
     let zones = list_zones(config).await.map_err(FleetError::Call)?;
     let text = if json { json!(zones).to_string() + "\n" } else { zones_text(&zones) };
--- a/crates/curlewhub/src/lib.rs
+++ b/crates/curlewhub/src/lib.rs
@@ -1,6 +1,6 @@
-//! The sidecar's program: command line, start-up, log and exit codes. What a sidecar does is in the packages
-//! that this one wires together. It is a library so that other programs can start real sidecar processes from
-//! their own executable.
+//! The `curlewhub` program: command line, startup, logging and exit codes. The sidecar itself is
+//! implemented by the packages that this one wires together. It is a library so that other programs can
+//! start real sidecar processes from their own executable.
 
 mod check;
 mod cli;
@@ -24,18 +24,20 @@
 use std::time::Duration;
 use tokio::task::LocalSet;
 
-/// Runs the command line; its first word is the program's name.
+/// Parses and runs a command line. The first argument is the program's name.
 ///
 /// An invalid command line ends the process with exit code 2.
-pub fn program(words: impl Iterator<Item = OsString>) -> ExitCode {
-    let exit = match Cli::parse_from(words).command {
+pub fn program(args: impl Iterator<Item = OsString>) -> ExitCode {
+    let exit = match Cli::parse_from(args).command {
         None => run_without_command(),
         Some(Command::Run { config, replace, settings }) => run(config, replace, &settings),
         Some(Command::Check(args)) => check::run(&args),
         Some(Command::Config(ConfigCommand::Example)) => print(file::EXAMPLE),
         Some(Command::Ctl(args)) => ctl::run(&args),
         Some(Command::Snapshot(SnapshotCommand::Show { file, json })) => snapshot::show(&file, json),
-        Some(Command::ConsensusServer { begin, process }) => fleet::consensus_server(&process, begin),
+        Some(Command::ConsensusServer { bootstrap, process }) => {
+            fleet::consensus_server(&process, bootstrap)
+        }
         Some(Command::Fleet(command)) => fleet::run(&command),
         Some(Command::Completions { shell }) => print_completions(shell),
     };
@@ -47,19 +49,21 @@
     std::env::var_os(platform::CONFIG_VAR).is_some()
 }
 
-/// The platform starts the program without arguments and names its file in the environment.
+/// Runs the sidecar if the platform started the program: it passes no arguments and names the configuration
+/// file in the environment. Otherwise prints the help, as a usage error.
 fn run_without_command() -> Exit {
     if is_on_platform() {
         return run_sidecar(LoadedConfig::from_platform(), false);
     }
-    let _ = Cli::command().print_help(); // a reader that has closed the pipe is no failure
+    let _ = Cli::command().print_help(); // fails if the reader has closed the pipe, which is not an error
     Exit::Usage
 }
 
 fn run(config: Option<PathBuf>, replace: bool, settings: &SettingsArgs) -> Exit {
     match config {
         Some(path) => run_sidecar(settings.load(&path), replace),
-        // Flags override an operator's file only; with the platform's file they would be ignored silently.
+        // Flags override only a file given by --config; with the platform's file they would be ignored
+        // silently.
         None if is_on_platform() && *settings == SettingsArgs::default() => {
             run_sidecar(LoadedConfig::from_platform(), false)
         }
@@ -67,9 +71,9 @@
     }
 }
 
-/// A write of learned state that is under way at the end gets this long, and a disk that answers later loses it: the
-/// process may be killed 0.7 s behind its last deadline.
-const LAST_WRITE: Duration = Duration::from_millis(200);
+/// Timeout at exit for a write of learned state that is still in progress; on a slower disk the write is
+/// lost. The process may be killed 0.7 s after its last deadline.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(200);
 
 fn run_sidecar(loaded: Result<LoadedConfig, Problems>, replace: bool) -> Exit {
     let mut loaded = match loaded {
@@ -85,12 +89,13 @@
         Ok(runtime) => runtime,
         Err(error) => return fail(error),
     };
-    let ended = LocalSet::new().block_on(&runtime, serve::run(loaded, logs.counts(), logs.control()));
-    runtime.shutdown_timeout(LAST_WRITE);
+    let result =
+        LocalSet::new().block_on(&runtime, serve::run(loaded, logs.drop_counters(), logs.control()));
+    runtime.shutdown_timeout(FINAL_WRITE_TIMEOUT);
     drop(logs); // writes queued lines before the error below
-    match ended {
+    match result {
         Ok(()) => Exit::Done,
-        Err(problem) => fail(problem),
+        Err(error) => fail(error),
     }
 }
 
--- a/crates/curlewhub/src/log_limit.rs
+++ b/crates/curlewhub/src/log_limit.rs
@@ -1,4 +1,4 @@
-//! A limit on log lines: so many a second from each call site, so that one that repeats cannot flood the log.
+//! A rate limit on the log lines of each call site, so that a repeating line cannot flood the log.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -6,13 +6,14 @@
 use tracing::Metadata;
 use tracing::callsite::Identifier;
 
-/// Counts log lines by call site. Its size is bounded by the number of call sites in the program.
+/// Counts and limits log lines by call site. Its size is bounded by the number of call sites in the
+/// program.
 pub struct CallSiteLimit {
     per_second: AtomicU32,
     call_sites: Mutex<HashMap<Identifier, CallSite>>,
 }
 
-/// Log lines of one call site: admitted in the current second, and dropped since last reported.
+/// The log lines of one call site: admitted in the current second, and dropped since the last report.
 #[derive(Default)]
 struct CallSite {
     second: u64,
@@ -31,17 +32,18 @@
 }
 
 impl CallSiteLimit {
-    /// A limit of this many lines a second for each call site.
+    /// Creates a limit of `per_second` lines per second for each call site.
     pub fn new(per_second: u32) -> Self {
         CallSiteLimit { per_second: per_second.into(), call_sites: Mutex::default() }
     }
 
-    /// Changes the limit, from the next line on.
+    /// Changes the limit, starting with the next line.
     pub fn set(&self, per_second: u32) {
         self.per_second.store(per_second, Ordering::Relaxed);
     }
 
-    /// Counts a line that is logged in this second (of any steady clock), and returns whether it may be written.
+    /// Counts a line that is logged in this second of a monotonic clock, and returns whether it may be
+    /// written.
     pub fn admit(&self, line: &Metadata<'_>, second: u64) -> bool {
         let mut call_sites = self.call_sites.lock().unwrap_or_else(PoisonError::into_inner);
         let call_site = call_sites.entry(line.callsite()).or_default();
@@ -60,7 +62,7 @@
         false
     }
 
-    /// What was dropped since the last call, by call site, in no particular order.
+    /// Returns the lines dropped since the last call, by call site, in no particular order.
     pub fn take_dropped(&self) -> Vec<DroppedLines> {
         let mut call_sites = self.call_sites.lock().unwrap_or_else(PoisonError::into_inner);
         let limited = call_sites.values_mut().filter(|call_site| call_site.dropped > 0);
--- a/crates/curlewhub/src/logs.rs
+++ b/crates/curlewhub/src/logs.rs
@@ -1,8 +1,9 @@
 //! The log: events with fields, written to standard error without ever delaying traffic.
 //!
-//! A thread of its own writes the lines from a bounded queue, so a reader that is slow, blocked or gone delays
-//! nothing; lines that do not fit into the queue are dropped and counted. Each call site may log a limited number
-//! of lines a second; lines beyond that are dropped and counted as well, and both counts are logged.
+//! A separate thread writes the lines from a bounded queue, so a reader that is slow, blocked or gone
+//! delays nothing; lines that do not fit into the queue are dropped and counted. Each call site may log a
+//! limited number of lines per second; lines beyond that are dropped and counted as well, and both counts
+//! are logged.
 
 use crate::log_limit::{CallSiteLimit, DroppedLines};
 use curlewhub_config::{LogFormat, LogSettings};
@@ -22,26 +23,26 @@
 /// Why the log could not be started or changed.
 #[derive(Debug, Error)]
 pub enum LogError {
-    /// A level, or a list of levels by target, that cannot be parsed.
+    /// The level, or list of levels by target, cannot be parsed.
     #[error("{text}: {source}")]
     InvalidLevel {
         /// The level as given.
         text: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: ParseError,
     },
     /// The process has a log already.
     #[error(transparent)]
     AlreadyStarted(#[from] TryInitError),
-    /// The log that is to change has ended.
+    /// The log to be changed no longer exists.
     #[error(transparent)]
     Ended(#[from] reload::Error),
 }
 
-/// The running log. Dropping it writes the queued lines, as far as their reader takes them.
+/// The running log. Dropping it writes the queued lines, as far as their reader accepts them.
 pub struct Logs {
     _writer: WorkerGuard,
-    counts: Counts,
+    drop_counters: DropCounters,
     control: LogControl,
 }
 
@@ -53,10 +54,10 @@
 }
 
 impl LogControl {
-    /// Applies the level and the limit of lines a second.
+    /// Applies the level and the limit on lines per second.
     ///
     /// # Errors
-    /// The level is invalid; nothing is changed then.
+    /// The level is invalid; the log is unchanged in that case.
     pub fn change(&self, log: &LogSettings) -> Result<(), LogError> {
         self.levels.reload(levels(&log.level)?)?;
         self.limit.set(log.per_second);
@@ -66,7 +67,7 @@
 
 /// Counts of log lines that were not written.
 #[derive(Clone)]
-pub struct Counts {
+pub struct DropCounters {
     limit: Arc<CallSiteLimit>,
     unwritten: ErrorCounter,
 }
@@ -93,17 +94,17 @@
         };
         tracing_subscriber::registry().with(lines).try_init()?;
         let control = LogControl { limit: limit.clone(), levels: levels_handle };
-        Ok(Logs { _writer: writer, counts: Counts { limit, unwritten }, control })
+        Ok(Logs { _writer: writer, drop_counters: DropCounters { limit, unwritten }, control })
     }
 
-    /// A handle that changes how much is logged.
+    /// Returns a handle that changes how much is logged.
     pub fn control(&self) -> LogControl {
         self.control.clone()
     }
 
-    /// A handle on the counts of lines that were not written.
-    pub fn counts(&self) -> Counts {
-        self.counts.clone()
+    /// Returns a handle on the counts of lines that were not written.
+    pub fn drop_counters(&self) -> DropCounters {
+        self.drop_counters.clone()
     }
 }
 
@@ -115,8 +116,9 @@
     text.parse().map_err(|source| LogError::InvalidLevel { text: text.to_owned(), source })
 }
 
-impl Counts {
-    /// Logs what was dropped since the last call; `unwritten_before` is the caller's count up to then.
+impl DropCounters {
+    /// Logs the numbers of lines dropped since the last call. `unwritten_before` holds the total that was
+    /// already logged.
     pub fn log(&self, unwritten_before: &mut usize) {
         for DroppedLines { call_site, count } in self.limit.take_dropped() {
             tracing::warn!(call_site, dropped = count, "repeated log lines were dropped");
@@ -130,7 +132,7 @@
     }
 }
 
-/// The limit of call sites, as a filter of events.
+/// The limit on call sites, as an event filter.
 struct LimitFilter {
     limit: Arc<CallSiteLimit>,
     start: Instant,
--- a/crates/curlewhub/src/member.rs
+++ b/crates/curlewhub/src/member.rs
@@ -1,5 +1,5 @@
-//! A sidecar's membership in a fleet: evidence of its calls is sent to the consensus servers, and what they decide is
-//! passed to the balancer and the configuration.
+//! A sidecar's membership in a fleet: sends evidence of its calls to the consensus servers, and applies
+//! their decisions to the balancer and the configuration.
 
 use crate::fleet::AppliedViewLog;
 use crate::reload::Reloader;
@@ -27,9 +27,9 @@
 use tokio::time::timeout;
 use tracing::{error, info};
 
-/// Timeout of leaving the fleet as the process ends.
+/// Timeout for leaving the fleet as the process ends.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Timeout of applying the cached view as the process starts.
+/// Timeout for applying the cached view as the process starts.
 const CACHED_VIEW_TIMEOUT: Duration = Duration::from_millis(500);
 /// Timeout of a probe of a zone.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
@@ -37,7 +37,7 @@
 /// Records the driver's calls as evidence.
 struct EvidenceObserver {
     recorder: Rc<RefCell<CallRecorder>>,
-    /// Start of the recorder's clock.
+    /// The origin of the recorder's clock.
     started: Instant,
 }
 
@@ -72,19 +72,19 @@
     (request.0, attempt.0)
 }
 
-/// Puts decisions of the consensus servers into force in this sidecar, and reports its standing in the figures.
+/// Applies the decisions of the consensus servers to this sidecar, and exports its fleet status as metrics.
 struct DecisionHandler {
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     commands: UnboundedSender<Command>,
     clock: Clock,
     /// The names of the zones, by zone id.
     zones: Vec<String>,
     reloader: Rc<Reloader>,
-    /// Resolved once the cached view is applied.
+    /// Notified once the cached view is applied.
     view_applied: Option<oneshot::Sender<()>>,
-    /// Number of zones that are closed or unreachable now.
+    /// Number of zones that are currently closed or unreachable.
     closed_zones: u64,
-    /// The access that was logged last.
+    /// The text of the access that was last logged.
     logged_access: String,
     /// Messages from and to the fleet since the start.
     messages: Flow,
@@ -97,8 +97,9 @@
         self.zones.iter().position(|known| known == name).map(|zone| ZoneId(zone as u32))
     }
 
-    /// The access to a zone as the balancer takes it. `now` is the time on the clock of the decision.
-    fn zone_right(&self, now: Duration, access: ZoneAccess) -> ZoneAdmission {
+    /// Converts the access to a zone to the balancer's type. `now` is the current time on the clock of the
+    /// decision.
+    fn zone_admission(&self, now: Duration, access: ZoneAccess) -> ZoneAdmission {
         match access {
             ZoneAccess::Open => ZoneAdmission::Open,
             ZoneAccess::Share(share) => ZoneAdmission::Fraction(share),
@@ -111,7 +112,8 @@
         }
     }
 
-    /// Logs the access if its text has changed. The text has no rates: they are renewed several times a second.
+    /// Logs the access if its text has changed. The text omits rates, because they are renewed several
+    /// times per second.
     fn log_access(&mut self, access: &[(String, ZoneAccess)]) {
         let restricted: Vec<String> = access.iter().filter_map(restriction).collect();
         let text = if restricted.is_empty() { "all open".to_owned() } else { restricted.join(", ") };
@@ -126,7 +128,7 @@
     matches!(access, ZoneAccess::Closed | ZoneAccess::Unreachable)
 }
 
-/// The text of a zone that is not open.
+/// Describes the access to a zone, unless it is open.
 fn restriction((zone, access): &(String, ZoneAccess)) -> Option<String> {
     match access {
         ZoneAccess::Open => None,
@@ -141,27 +143,27 @@
     fn view_applied(&mut self, applied: &AppliedRecords, hash: Hash) {
         AppliedViewLog.view_applied(applied, hash);
         if let Some(reply) = self.view_applied.take() {
-            let _ = reply.send(()); // the wait may have timed out
+            let _ = reply.send(()); // fails if the wait has timed out
         }
     }
 
     fn configure(&mut self, values: &SettingValues) -> Result<(), String> {
-        self.reloader.fleet(values)
+        self.reloader.apply_fleet_settings(values)
     }
 
     fn zone_access_changed(&mut self, now: Duration, access: &[(String, ZoneAccess)]) {
-        let rights = access
+        let admissions = access
             .iter()
-            .filter_map(|(zone, access)| Some((self.zone_id(zone)?, self.zone_right(now, *access))))
+            .filter_map(|(zone, access)| Some((self.zone_id(zone)?, self.zone_admission(now, *access))))
             .collect();
         self.closed_zones = access.iter().filter(is_closed).count() as u64;
-        let _ = self.commands.send(Command::Zones(rights)); // fails only while the process ends
+        let _ = self.commands.send(Command::Zones(admissions)); // fails only while the process ends
         self.log_access(access);
     }
 
     fn probe_zone(&mut self, zone: &str, count: u32) {
         if let Some(zone) = self.zone_id(zone) {
-            // It fails only while the process ends.
+            // Sending fails only while the process ends.
             let _ = self.commands.send(Command::ProbeZone { zone, count, within: PROBE_TIMEOUT });
         }
     }
@@ -175,12 +177,13 @@
         let (sent_bytes, received_bytes) = status.traffic;
         let gauge = |name, value| ExternalMetric { name, value, is_counter: false };
         let count = |name, value| ExternalMetric { name, value, is_counter: true };
-        let mut figures = vec![gauge("fleet_version", status.version)];
-        // Without a message of a consensus server since the start the age is unknown.
-        figures.extend(status.age.map(|age| gauge("fleet_age_ms", age.as_millis() as u64)));
-        // The configuration in force, or refused, was the newest this long ago; it has no age of its own.
-        figures.extend(status.age.map(|age| gauge("config_age_ms", age.as_millis() as u64)));
-        figures.extend([
+        let mut metrics = vec![gauge("fleet_version", status.version)];
+        // The age is unknown until the first message from a consensus server.
+        metrics.extend(status.age.map(|age| gauge("fleet_age_ms", age.as_millis() as u64)));
+        // The age of the configuration in force, or refused, is that of the view: it was the newest that
+        // long ago.
+        metrics.extend(status.age.map(|age| gauge("config_age_ms", age.as_millis() as u64)));
+        metrics.extend([
             gauge("config_version", status.config.0),
             gauge("config_refused", u64::from(status.config_refused)),
             count("config_refusals", status.config_refusals),
@@ -195,7 +198,7 @@
             count("fleet_heard_messages", self.messages.messages_in),
             count("fleet_lost_messages", self.lost_messages),
         ]);
-        self.figures.set_external(figures);
+        self.metrics.set_external(metrics);
     }
 }
 
@@ -214,16 +217,18 @@
 }
 
 impl FleetMembership {
-    /// Waits until the cached view in the state directory is applied: before that, requests might be sent where the view
-    /// forbids it. A disk that takes too long is not waited for.
+    /// Waits until the cached view in the state directory is applied: before that, requests might be sent
+    /// where the view does not allow it. The wait has a timeout, so that a slow disk does not prevent
+    /// startup.
     pub async fn wait_for_view(&mut self) {
         if let Some(applied) = self.view_applied.take() {
             let _ = timeout(CACHED_VIEW_TIMEOUT, applied).await;
         }
     }
 
-    /// Announces to the fleet that this process leaves, so that no failure detection is needed. SIGKILL may come after
-    /// `time_left`; members that miss the announcement detect the end themselves.
+    /// Announces to the fleet that this process is leaving, so that the members need not detect its
+    /// failure. SIGKILL may follow after `time_left`; members that miss the announcement detect the end
+    /// themselves.
     pub async fn leave(self, time_left: Duration) {
         if let Some(SubscriberTask { leave, task }) = self.subscriber {
             let _ = leave.send(());
@@ -232,10 +237,10 @@
     }
 }
 
-/// Joins the fleet of the configuration, if there is one. A sidecar serves also if that fails.
+/// Joins the configured fleet, if there is one. The sidecar serves even if that fails.
 pub fn join(
     config: &Config,
-    figures: &Rc<Metrics>,
+    metrics: &Rc<Metrics>,
     commands: &UnboundedSender<Command>,
     clock: Clock,
     reloader: Rc<Reloader>,
@@ -247,9 +252,9 @@
             subscriber: None,
         };
     };
-    let (areas, tier) = (&config.names.zones, config.settings.tier);
-    let own_zone = areas.get(config.settings.zone.0 as usize).map_or("", |zone| zone);
-    let zones: Vec<String> = areas.iter().map(|zone| tier_zone(zone, tier)).collect();
+    let (zone_names, tier) = (&config.names.zones, config.settings.tier);
+    let own_zone = zone_names.get(config.settings.zone.0 as usize).map_or("", |zone| zone);
+    let zones: Vec<String> = zone_names.iter().map(|zone| tier_zone(zone, tier)).collect();
     let recorder = Rc::new(RefCell::new(CallRecorder::new(own_zone, zones.clone())));
     let started = Instant::now();
     let options = SubscriberOptions {
@@ -259,7 +264,7 @@
     };
     let (view_applied, applied) = oneshot::channel();
     let mut handler = DecisionHandler {
-        figures: figures.clone(),
+        metrics: metrics.clone(),
         commands: commands.clone(),
         clock,
         zones,
--- a/crates/curlewhub/src/output.rs
+++ b/crates/curlewhub/src/output.rs
@@ -1,13 +1,13 @@
-//! What a command prints, and the exit code that it ends with.
+//! Output and exit codes of commands.
 
 use std::fmt::Display;
 use std::io::Write as _;
 use std::process::ExitCode;
 
-/// The outcome of a command, as an exit code.
+/// The result of a command, which determines the exit code.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Exit {
-    /// The command did what it was asked: 0.
+    /// The command succeeded: 0.
     Done,
     /// The command failed: 1.
     Failed,
@@ -31,13 +31,13 @@
     Exit::Done
 }
 
-/// Prints an error to standard error, as that of a failed command.
+/// Prints the error of a failed command to standard error.
 pub fn fail(error: impl Display) -> Exit {
     eprintln!("curlewhub: {error}");
     Exit::Failed
 }
 
-/// Prints an error to standard error, as that of an invalid command line or configuration.
+/// Prints the error of an invalid command line or configuration to standard error.
 pub fn reject_usage(error: impl Display) -> Exit {
     eprintln!("curlewhub: {error}");
     Exit::Usage
--- a/crates/curlewhub/src/reload.rs
+++ b/crates/curlewhub/src/reload.rs
@@ -13,32 +13,33 @@
 /// Owns the configuration in force and passes changes on to discovery and the log.
 pub struct Reloader {
     loaded: RefCell<LoadedConfig>,
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     calls: UnboundedSender<Call>,
     log: LogControl,
 }
 
 impl Reloader {
-    /// Starts with the configuration that the sidecar was started with.
+    /// Creates a reloader with the configuration that the sidecar was started with.
     pub fn new(
         loaded: LoadedConfig,
-        figures: Rc<Metrics>,
+        metrics: Rc<Metrics>,
         calls: UnboundedSender<Call>,
         log: LogControl,
     ) -> Rc<Reloader> {
-        Rc::new(Reloader { loaded: RefCell::new(loaded), figures, calls, log })
+        Rc::new(Reloader { loaded: RefCell::new(loaded), metrics, calls, log })
     }
 
-    /// Reads the file again and applies its changes. An invalid file changes nothing; its errors are logged.
-    pub fn file(&self) {
+    /// Reads the file again and applies its changes. An invalid file changes nothing; its errors are
+    /// logged.
+    pub fn reload_file(&self) {
         let reloaded = self.loaded.borrow_mut().reload();
         match reloaded {
             Ok(change) => {
-                self.figures.record_reconfiguration(true);
+                self.metrics.record_reconfiguration(true);
                 self.apply(change);
             }
             Err(problems) => {
-                self.figures.record_reconfiguration(false);
+                self.metrics.record_reconfiguration(false);
                 for problem in &problems.0 {
                     error!(%problem, "reload");
                 }
@@ -47,12 +48,14 @@
         }
     }
 
-    /// Applies settings that the fleet has decided. Settings that are refused change nothing.
+    /// Applies settings that the fleet has committed. Invalid settings change nothing.
     ///
     /// # Errors
-    /// All errors of the settings, one a line: the text goes into the sidecar's report to the coordinator.
-    pub fn fleet(&self, values: &SettingValues) -> Result<(), String> {
-        // The log's own parser is stricter than the file's check, and what is reported as in force must be.
+    /// All errors of the settings, one per line; the text is included in the sidecar's report to the
+    /// coordinator.
+    pub fn apply_fleet_settings(&self, values: &SettingValues) -> Result<(), String> {
+        // The log's own parser is stricter than the configuration's validation. A level that it rejects
+        // must not be reported as in force.
         if let Some(level) = values.get("log.level") {
             levels(level).map_err(|error| format!("log.level: {error}"))?;
         }
--- a/crates/curlewhub/src/serve.rs
+++ b/crates/curlewhub/src/serve.rs
@@ -1,9 +1,9 @@
-//! A sidecar process: creates the parts, connects them, and serves until it is terminated.
+//! A sidecar process: creates and connects the components, and serves until it is terminated.
 
 mod error;
 mod signals;
 
-use crate::logs::{Counts, LogControl};
+use crate::logs::{DropCounters, LogControl};
 use crate::member::{self, FleetMembership};
 use crate::reload::Reloader;
 use curlewhub_balance::Balancer;
@@ -39,50 +39,54 @@
 use tokio::time::{Instant, sleep};
 use tracing::{info, warn};
 
-/// A successor whose discovery does not answer for this long serves with the known list: it has to be ready within 6 s,
-/// and its predecessor serves in the meantime.
+/// Time that a successor waits for discovery before it serves with the cached endpoint list. It has to be
+/// ready within 6 s; its predecessor serves in the meantime.
 const FRESH_LIST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Interval between requests for the list until then.
+/// Interval between requests for the list during that time.
 const FRESH_LIST_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval between checks whether the list has arrived.
 const FRESH_LIST_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Interval between log lines about dropped log lines.
+/// Interval between reports of dropped log lines.
 const DROPPED_LINES_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Serves until the process is terminated.
 ///
 /// # Errors
-/// What kept the sidecar from starting, or what ended it.
-pub async fn run(loaded: LoadedConfig, counts: Counts, log: LogControl) -> Result<(), ServeError> {
+/// The sidecar could not start, or its driver ended.
+pub async fn run(
+    loaded: LoadedConfig,
+    drop_counters: DropCounters,
+    log: LogControl,
+) -> Result<(), ServeError> {
     let signals = Signals::install()?;
-    let base = Base::new(&loaded.config)?;
-    // First of all: an operator is owed an answer from the start on.
-    base.start_operator(&loaded.config).await?;
-    let entrance = Entrance::open(&loaded.config, &base.handover).await?;
-    warn_of_overridden_settings(&loaded.config);
-    let sidecar = Sidecar::start(loaded, log, base, entrance.bans);
-    spawn_local(log_dropped_lines(counts));
-    sidecar.serve(entrance.listener, entrance.predecessor, signals).await
+    let core = CoreComponents::new(&loaded.config)?;
+    // First, so that operator calls are answered throughout startup.
+    core.start_operator(&loaded.config).await?;
+    let listener_setup = ListenerSetup::open(&loaded.config, &core.handover).await?;
+    warn_about_overridden_settings(&loaded.config);
+    let sidecar = Sidecar::start(loaded, log, core, listener_setup.bans);
+    spawn_local(log_dropped_lines(drop_counters));
+    sidecar.serve(listener_setup.listener, listener_setup.predecessor, signals).await
 }
 
-/// The parts that all others depend on.
-struct Base {
+/// The components that all others depend on.
+struct CoreComponents {
     clock: Clock,
     balancer: Balancer,
     budget: Rc<Budget>,
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     lifecycle: Rc<Lifecycle>,
     handover: Rc<Handover>,
     commands: Commands,
     command_queue: UnboundedReceiver<Command>,
 }
 
-impl Base {
+impl CoreComponents {
     fn new(config: &Config) -> Result<Self, ServeError> {
         let clock = Clock::start();
         let balancer = Balancer::new(config.settings.clone(), config.seed, clock.now())?;
         let budget = Budget::new(config.sockets, config.memory_mb);
-        let figures = Metrics::new(config.names.classes.iter().map(|class| class.name.clone()));
+        let metrics = Metrics::new(config.names.classes.iter().map(|class| class.name.clone()));
         let lifecycle = Lifecycle::new(longest_deadline(config));
         let (commands, command_queue) = mpsc::unbounded_channel();
         let handover = Handover::new(
@@ -92,10 +96,19 @@
             budget.clone(),
             commands.clone(),
         );
-        Ok(Base { clock, balancer, budget, figures, lifecycle, handover, commands, command_queue })
+        Ok(CoreComponents {
+            clock,
+            balancer,
+            budget,
+            metrics,
+            lifecycle,
+            handover,
+            commands,
+            command_queue,
+        })
     }
 
-    /// Serves operators' calls, if there is an address for them.
+    /// Starts serving operator calls, if an operator address is configured.
     async fn start_operator(&self, config: &Config) -> Result<(), ServeError> {
         let Some(address) = config.operator else { return Ok(()) };
         let listener = TcpListener::bind(address)
@@ -103,7 +116,7 @@
             .map_err(|source| ServeError::bind("operator", address, source, ""))?;
         let operator = Operator::new(
             self.lifecycle.clone(),
-            self.figures.clone(),
+            self.metrics.clone(),
             self.commands.clone(),
             self.handover.clone(),
             self.budget.clone(),
@@ -113,16 +126,17 @@
     }
 }
 
-/// What is taken over from the predecessor, or opened without one.
-struct Entrance {
+/// The clients' listening socket and the endpoint bans: taken over from a predecessor, or opened without
+/// one.
+struct ListenerSetup {
     listener: TcpListener,
     predecessor: Option<Connection>,
     bans: Rc<EndpointBans>,
 }
 
-impl Entrance {
-    /// The clients' listening socket and the bans of the predecessor, if there is one to replace; otherwise a new socket
-    /// and the bans on disk.
+impl ListenerSetup {
+    /// Takes over the predecessor's listening socket and bans, if there is one to replace; otherwise binds
+    /// a new socket and loads the bans from disk.
     async fn open(config: &Config, handover: &Rc<Handover>) -> Result<Self, ServeError> {
         const HINT: &str = "; `--replace` takes over from a curlewhub that serves there";
         let bans = EndpointBans::load(&config.state_dir, config.listen);
@@ -143,20 +157,20 @@
             let (field, address) = ("listen", config.listen);
             ServeError::Listen { field, address, source }
         })?;
-        Ok(Entrance { listener, predecessor, bans })
+        Ok(ListenerSetup { listener, predecessor, bans })
     }
 }
 
-/// Where the endpoint list comes from, and the queues around it.
+/// The source of the endpoint list (discovery or the configuration file) and the queue of calls to it.
 struct ListSource {
     listing: Rc<Listing>,
-    /// None if the list is static.
+    /// `None` if the list is static.
     discovery: Option<Rc<Discovery>>,
     calls: UnboundedSender<Call>,
 }
 
 impl ListSource {
-    /// Starts discovery or the static list. The known list is queued at once, before any request.
+    /// Starts discovery or the static list. The initial list is queued at once, before any request.
     fn start(config: &Config, clock: Clock, inbox: &Inbox) -> Self {
         let listing = Listing::new(config.names.clone());
         let (calls, call_queue) = mpsc::unbounded_channel();
@@ -186,7 +200,7 @@
         ListSource { listing, discovery: Some(discovery), calls }
     }
 
-    /// Waits for the current list: the known one may be as old as the predecessor.
+    /// Waits for a current list: the initial one may be as old as the predecessor process.
     async fn wait_for_fresh_list(&self) {
         let Some(discovery) = &self.discovery else { return };
         let start = Instant::now();
@@ -212,12 +226,13 @@
 }
 
 impl Startup {
-    /// Makes the process ready, and then hands over to successors. Does not return.
+    /// Makes the process ready, and then serves handovers to successors. Does not return.
     async fn run(&self, has_predecessor: bool) {
         if has_predecessor {
             self.list_source.wait_for_fresh_list().await;
         }
-        // As late as possible: the predecessor's state is most current then, and this process has learned nothing yet.
+        // As late as possible, so that the predecessor's state is recent; this process has not learned
+        // anything yet.
         match self.handover.request_learned_state().await {
             Some(bytes) => drop(self.learned_state.restore(&bytes, "the process before").await),
             None => self.learned_state.restore_from_file().await,
@@ -232,7 +247,7 @@
     }
 }
 
-/// A sidecar whose driver runs, and which does not accept clients yet.
+/// A sidecar whose driver is running, but which does not accept clients yet.
 struct Sidecar {
     config: Config,
     inbound: Rc<Inbound>,
@@ -243,29 +258,38 @@
 }
 
 impl Sidecar {
-    /// Creates and connects the parts, and starts the driver.
-    fn start(loaded: LoadedConfig, log: LogControl, base: Base, bans: Rc<EndpointBans>) -> Self {
-        let Base { clock, balancer, budget, figures, lifecycle, handover, commands, command_queue } = base;
+    /// Creates and connects the components, and starts the driver.
+    fn start(loaded: LoadedConfig, log: LogControl, core: CoreComponents, bans: Rc<EndpointBans>) -> Self {
+        let CoreComponents {
+            clock,
+            balancer,
+            budget,
+            metrics,
+            lifecycle,
+            handover,
+            commands,
+            command_queue,
+        } = core;
         let config = loaded.config.clone();
         let (inbox, inputs) = mpsc::unbounded_channel();
-        let outbound = new_outbound(&config, &budget, &figures);
+        let outbound = new_outbound(&config, &budget, &metrics);
         let inbound = Inbound::new(
             config.settings.clone(),
             &config.names,
             budget,
             outbound.clone(),
             lifecycle.clone(),
-            figures.clone(),
+            metrics.clone(),
             inbox.clone(),
         );
         let learned_state =
-            new_learned_state(&config, clock, commands.clone(), inbox.clone(), figures.clone());
+            new_learned_state(&config, clock, commands.clone(), inbox.clone(), metrics.clone());
         handover.set_learned_state(learned_state.clone());
         let list_source = ListSource::start(&config, clock, &inbox);
-        let idempotency_keys = open_idempotency_keys(&config, clock, figures.clone());
+        let idempotency_keys = open_idempotency_keys(&config, clock, metrics.clone());
         let calls = list_source.calls.clone();
-        let reloader = Reloader::new(loaded, figures.clone(), calls.clone(), log);
-        let fleet = member::join(&config, &figures, &commands, clock, reloader.clone());
+        let reloader = Reloader::new(loaded, metrics.clone(), calls.clone(), log);
+        let fleet = member::join(&config, &metrics, &commands, clock, reloader.clone());
         let parts = Parts {
             outbound: outbound.clone(),
             listing: list_source.listing.clone(),
@@ -282,7 +306,7 @@
         Sidecar { config, inbound, reloader, fleet, driver, startup }
     }
 
-    /// Serves clients until the process is terminated and they are drained.
+    /// Serves clients until the process is terminated and draining is complete.
     async fn serve(
         mut self,
         listener: TcpListener,
@@ -302,10 +326,10 @@
             tokio::select! {
                 () = &mut serving => break,
                 () = &mut startup => {}
-                ended = &mut self.driver => return Err(ServeError::DriverEnded(ended)),
+                result = &mut self.driver => return Err(ServeError::DriverEnded(result)),
                 request = signals.next() => match request {
                     SignalRequest::Terminate => lifecycle.terminate(),
-                    SignalRequest::Reload => self.reloader.file(),
+                    SignalRequest::Reload => self.reloader.reload_file(),
                 }
             }
         }
@@ -320,11 +344,11 @@
     config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
 }
 
-fn new_outbound(config: &Config, budget: &Rc<Budget>, figures: &Rc<Metrics>) -> Rc<Outbound> {
-    let terms =
+fn new_outbound(config: &Config, budget: &Rc<Budget>, metrics: &Rc<Metrics>) -> Rc<Outbound> {
+    let quota_settings =
         QuotaSettings { sidecars: config.settings.balancers, endpoint_limit: config.endpoint_connections };
-    let slots = Slots::new(terms, config.seed);
-    Outbound::new(&config.settings, budget.clone(), slots, figures.clone())
+    let slots = Slots::new(quota_settings, config.seed);
+    Outbound::new(&config.settings, budget.clone(), slots, metrics.clone())
 }
 
 fn new_learned_state(
@@ -332,27 +356,31 @@
     clock: Clock,
     commands: Commands,
     inbox: Inbox,
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
 ) -> Rc<LearnedState> {
     let store = Store::new(&config.state_dir, config.listen);
-    LearnedState::new(clock, fingerprint(&config.settings), store, commands, inbox, figures)
+    LearnedState::new(clock, fingerprint(&config.settings), store, commands, inbox, metrics)
 }
 
-fn open_idempotency_keys(config: &Config, clock: Clock, figures: Rc<Metrics>) -> IdempotencyKeys {
+fn open_idempotency_keys(config: &Config, clock: Clock, metrics: Rc<Metrics>) -> IdempotencyKeys {
     let zones = &config.names.zones;
-    IdempotencyKeys::open(&config.state_dir, config.listen, &config.settings, zones, figures, clock)
+    IdempotencyKeys::open(&config.state_dir, config.listen, &config.settings, zones, metrics, clock)
 }
 
-fn warn_of_overridden_settings(config: &Config) {
-    for note in &config.warnings {
-        warn!(field = note.field, problem = note.problem, "configuration: taken as if it were otherwise");
+fn warn_about_overridden_settings(config: &Config) {
+    for warning in &config.warnings {
+        warn!(
+            field = warning.field,
+            problem = warning.problem,
+            "configuration: taken as if it were otherwise"
+        );
     }
 }
 
-async fn log_dropped_lines(counts: Counts) {
+async fn log_dropped_lines(drop_counters: DropCounters) {
     let mut unwritten = 0;
     loop {
         sleep(DROPPED_LINES_INTERVAL).await;
-        counts.log(&mut unwritten);
+        drop_counters.log(&mut unwritten);
     }
 }
--- a/crates/curlewhub/src/serve/error.rs
+++ b/crates/curlewhub/src/serve/error.rs
@@ -1,4 +1,4 @@
-//! Errors that keep a sidecar from starting or end it.
+//! Errors that prevent a sidecar from starting, or stop it.
 
 use curlewhub_balance::SettingsError;
 use std::io;
@@ -16,36 +16,36 @@
         /// The cause.
         source: io::Error,
     },
-    /// The balancer refuses the settings.
+    /// The balancer rejects the settings.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The address of a setting is in use by another program.
+    /// A configured address is in use by another program.
     #[error("{field}: {address}: another program listens there already{hint}")]
     AddressInUse {
-        /// The setting.
+        /// The name of the setting.
         field: &'static str,
-        /// Its address.
+        /// The address.
         address: SocketAddr,
-        /// What the operator may do; empty or a clause.
+        /// What the operator can do about it; a clause, or empty.
         hint: &'static str,
     },
-    /// The address of a setting can't be listened on.
+    /// A configured address can't be listened on.
     #[error("{field}: {address}: {source}")]
     Listen {
-        /// The setting.
+        /// The name of the setting.
         field: &'static str,
-        /// Its address.
+        /// The address.
         address: SocketAddr,
         /// The cause.
         source: io::Error,
     },
-    /// The driver's task ended while the process served.
-    #[error("the driver ended: {0:?}")]
+    /// The driver's task ended while the sidecar was serving.
+    #[error("the driver task ended: {0:?}")]
     DriverEnded(Result<(), JoinError>),
 }
 
 impl ServeError {
-    /// Of a failure to bind the address of a setting.
+    /// Creates the error for a failure to bind the address of the setting `field`.
     pub fn bind(
         field: &'static str,
         address: SocketAddr,
--- a/crates/curlewhub/src/serve/signals.rs
+++ b/crates/curlewhub/src/serve/signals.rs
@@ -3,7 +3,7 @@
 use super::error::ServeError;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// What a signal asks for.
+/// What a signal requests.
 pub(super) enum SignalRequest {
     /// SIGTERM or SIGINT.
     Terminate,
@@ -19,7 +19,7 @@
 }
 
 impl Signals {
-    /// Installs the handlers. Without one SIGHUP would end the process.
+    /// Installs the handlers. Without a handler SIGHUP would end the process.
     ///
     /// # Errors
     /// A handler can't be installed.
--- a/crates/curlewhub/src/snapshot.rs
+++ b/crates/curlewhub/src/snapshot.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Prints the snapshot with its age and the fingerprint of the settings that it belongs to.
+/// Prints the snapshot, its age, and the fingerprint of the settings under which it was taken.
 pub fn show(path: &Path, json: bool) -> Exit {
     let bytes = match std::fs::read(path) {
         Ok(bytes) => bytes,
@@ -28,13 +28,13 @@
 
 fn text(snapshot: &Snapshot, age: Duration, fingerprint: &str) -> String {
     let mut text = format!("taken {:.1} s ago, under settings {fingerprint}\n", age.as_secs_f64());
-    for (name, (size, opening)) in ["own zone", "others"].iter().zip(snapshot.windows) {
-        let opening = if opening { ", still opening" } else { "" };
-        text += &format!("window, {name}: {size:.1} attempts in flight{opening}\n");
+    for (name, (size, ramping_up)) in ["own zone", "others"].iter().zip(snapshot.windows) {
+        let note = if ramping_up { ", still ramping up" } else { "" };
+        text += &format!("window, {name}: {size:.1} attempts in flight{note}\n");
     }
-    for (class, (mean, unhurried)) in snapshot.latencies().iter().enumerate() {
-        let (mean_ms, unhurried_ms) = (mean * 1e3, unhurried * 1e3);
-        text += &format!("class {class}: mean latency {mean_ms:.1} ms, unhurried {unhurried_ms:.1} ms\n");
+    for (class, (mean, baseline)) in snapshot.latencies().iter().enumerate() {
+        let (mean_ms, baseline_ms) = (mean * 1e3, baseline * 1e3);
+        text += &format!("class {class}: mean latency {mean_ms:.1} ms, baseline {baseline_ms:.1} ms\n");
     }
     let (late_percent, tokens) = (snapshot.late_share * 100.0, snapshot.retry_tokens);
     text += &format!("late answers: {late_percent:.1}%; retry tokens: {tokens:.1}\n");
--- a/crates/curlewhub/tests/cli.rs
+++ b/crates/curlewhub/tests/cli.rs
@@ -1,4 +1,5 @@
-//! The command line: output, exit codes, earlier names, and a sidecar that runs from an operator's file.
+//! The command line: output, exit codes, aliases of renamed commands and flags, and a sidecar that runs
+//! from an operator's file.
 
 mod support;
 
@@ -10,7 +11,7 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// The program, without this machine's settings in its environment.
+/// The program, without the environment variables that override settings.
 fn program() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_curlewhub"));
     for name in
@@ -21,17 +22,17 @@
     command
 }
 
-fn output(words: &[&str]) -> Output {
-    program().args(words).output().unwrap()
+fn output(args: &[&str]) -> Output {
+    program().args(args).output().unwrap()
 }
 
-/// Exit code, output and error output.
+/// Exit code, standard output and standard error.
 fn parts(output: &Output) -> (Option<i32>, String, String) {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (output.status.code(), text(&output.stdout), text(&output.stderr))
 }
 
-/// A file in a directory of its own, which is removed when this is dropped.
+/// A file in a temporary directory of its own, which is removed on drop.
 struct File(PathBuf);
 
 impl File {
@@ -88,16 +89,16 @@
     sidecar
 }
 
-fn ctl(at: SocketAddr, words: &[&str]) -> (Option<i32>, String, String) {
+fn ctl(at: SocketAddr, args: &[&str]) -> (Option<i32>, String, String) {
     let at = at.to_string();
-    let words: Vec<&str> = ["ctl", "--at", &at].iter().chain(words).copied().collect();
-    parts(&output(&words))
+    let args: Vec<&str> = ["ctl", "--at", &at].iter().chain(args).copied().collect();
+    parts(&output(&args))
 }
 
 #[test]
 fn invalid_command_lines_and_files_exit_with_two_and_an_error() {
     let wrong = File::new("wrong", "listen = 5\nnope = 1\n");
-    for words in [
+    for args in [
         &[][..],
         &["run"],
         &["serve"],
@@ -106,8 +107,8 @@
         &["check", "--config", wrong.path()],
         &["ctl", "--at", "somewhere", "ping"],
     ] {
-        let (code, _, problem) = parts(&output(words));
-        assert_eq!(code, Some(2), "{words:?}: {problem}");
+        let (code, _, problem) = parts(&output(args));
+        assert_eq!(code, Some(2), "{args:?}: {problem}");
         assert!(!problem.contains("panicked"), "{problem}");
     }
     let on_platform =
@@ -147,7 +148,7 @@
     let (code, text, _) = ctl(operator, &["info", "--json"]);
     let figures: Value = serde_json::from_str(&text).unwrap();
     assert_eq!((code, &figures["figures"]["router.success.quote"]), (Some(0), &Value::from(1)));
-    assert_eq!(ctl(operator, &["detach", "two"]).0, Some(1), "there is no such endpoint");
+    assert_eq!(ctl(operator, &["detach", "two"]).0, Some(1), "no such endpoint");
     assert_eq!(ctl(operator, &["detach", "one"]).0, Some(0));
     assert_eq!(sidecar.client().ask("quote", "r2").status(), 503);
     assert_eq!(ctl(operator, &["attach", "one"]).0, Some(0));
@@ -161,7 +162,7 @@
 }
 
 #[test]
-fn a_call_to_a_dead_or_silent_address_fails_before_its_deadline() {
+fn ctl_fails_before_its_deadline_when_the_address_refuses_or_never_answers() {
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     for (at, want) in
         [(nowhere(), "nobody listens there"), (silent.local_addr().unwrap(), "no answer within")]
@@ -183,9 +184,9 @@
     let (listen, operator) = (nowhere(), nowhere());
     let file = File::new("port", &toml(listen, operator, &[("one", peer.address)]));
     let sidecar = start(&file, listen, operator);
-    let second = |words: &[&str]| {
-        let words: Vec<&str> = ["run", "--config", file.path()].iter().chain(words).copied().collect();
-        parts(&program().args(words).env("TMPDIR", file.folder()).output().unwrap())
+    let second = |args: &[&str]| {
+        let args: Vec<&str> = ["run", "--config", file.path()].iter().chain(args).copied().collect();
+        parts(&program().args(args).env("TMPDIR", file.folder()).output().unwrap())
     };
     let (code, _, problem) = second(&[]);
     assert_eq!(code, Some(1));
@@ -220,7 +221,7 @@
     file.write(&toml(listen, operator, &[("new", new.address)]));
     sidecar.signal("-HUP");
     wait_for("the new list", || sidecar.figure("reconfig_ok") == 1 && sidecar.figure("hosts_listed") == 2);
-    assert_eq!(sidecar.figure("hosts_down"), 1, "the old one drains");
+    assert_eq!(sidecar.figure("hosts_down"), 1, "the old endpoint drains");
     // The new endpoint is in slow start: it may refuse part of a burst, but nothing is sent to the old one.
     let mut served = 0;
     for n in 0..20 {
@@ -238,10 +239,11 @@
 #[test]
 fn a_log_without_a_reader_does_not_stop_traffic() {
     let peer = Peer::serving("hello");
-    for gone in [true, false] {
+    for reader_gone in [true, false] {
         let (listen, operator) = (nowhere(), nowhere());
-        let file = File::new(&format!("log-{gone}"), &toml(listen, operator, &[("one", peer.address)]));
-        // At this level every request writes lines, so a pipe without a reader is soon full.
+        let file =
+            File::new(&format!("log-{reader_gone}"), &toml(listen, operator, &[("one", peer.address)]));
+        // At this level every request logs several lines, so a pipe that nobody reads is soon full.
         let mut child = program()
             .args([
                 "run",
@@ -257,7 +259,7 @@
             .spawn()
             .unwrap();
         let pipe = child.stderr.take();
-        let kept = pipe.filter(|_| !gone);
+        let kept = pipe.filter(|_| !reader_gone);
         let sidecar = Sidecar::running(child, listen, operator, file.0.clone());
         wait_for("readiness", || sidecar.ready() == Some(200));
         let mut client = sidecar.client();
@@ -291,10 +293,10 @@
     std::io::stdout().flush().unwrap();
 }
 
-/// The help of a command, without its first lines, which name the command as it was called.
-fn help(words: &[&str]) -> String {
-    let (code, text, problem) = parts(&output(&[words, &["--help"]].concat()));
-    assert_eq!(code, Some(0), "{words:?}: {problem}");
+/// The help of a command after the usage line, which contains the name that was used.
+fn help(args: &[&str]) -> String {
+    let (code, text, problem) = parts(&output(&[args, &["--help"]].concat()));
+    assert_eq!(code, Some(0), "{args:?}: {problem}");
     text[text.find("Usage:").unwrap()..].lines().skip(1).collect::<Vec<_>>().join("\n")
 }
 
@@ -311,8 +313,8 @@
         ("fleet zone hold", "fleet hall hold"),
         ("fleet zone release", "fleet hall release"),
     ] {
-        let words = |name: &'static str| name.split(' ').collect::<Vec<_>>();
-        assert_eq!(help(&words(new)), help(&words(earlier)), "{new}");
+        let args = |name: &'static str| name.split(' ').collect::<Vec<_>>();
+        assert_eq!(help(&args(new)), help(&args(earlier)), "{new}");
     }
 }
 
@@ -324,7 +326,7 @@
         assert_eq!(code, Some(2), "{flag}");
         assert!(
             problem.contains("/nowhere/at.toml"),
-            "the flag is taken and the file is missed: {problem}"
+            "the flag is accepted and only the file is missing: {problem}"
         );
         let (_, _, problem) = parts(&output(&[&propose[..], &[flag, "many"]].concat()));
         assert!(problem.contains("many") && problem.contains("--max-"), "{flag}: {problem}");
--- a/crates/curlewhub/tests/ctl.rs
+++ b/crates/curlewhub/tests/ctl.rs
@@ -1,4 +1,4 @@
-//! `curlewhub ctl`: what is printed for each kind of answer.
+//! `curlewhub ctl`: output and exit code for each kind of answer.
 
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
@@ -6,8 +6,8 @@
 use std::process::Command;
 use std::thread::{JoinHandle, spawn};
 
-/// An operator address that gives this answer to two calls.
-fn answering(answer: &'static str) -> (SocketAddr, JoinHandle<()>) {
+/// Starts an operator address that gives this answer to two calls.
+fn spawn_operator(answer: &'static str) -> (SocketAddr, JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let server = spawn(move || {
@@ -22,13 +22,14 @@
     (address, server)
 }
 
-/// Exit code, output and error output of a call, and the JSON that is printed where JSON is asked for.
+/// Exit code, standard output and standard error of a call, and the JSON printed by the same call with
+/// `--json`.
 fn ping(answer: &'static str) -> (Option<i32>, String, String, Value) {
-    let (address, server) = answering(answer);
+    let (address, server) = spawn_operator(answer);
     let at = address.to_string();
-    let call = |words: &[&str]| {
+    let call = |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_curlewhub"));
-        command.args(["ctl", "--at", &at]).args(words).output().unwrap()
+        command.args(["ctl", "--at", &at]).args(args).output().unwrap()
     };
     let text = |bytes| String::from_utf8(bytes).unwrap();
     let (plain, as_json) = (call(&["ping"]), call(&["ping", "--json"]));
--- a/crates/curlewhub/tests/known_red.rs
+++ b/crates/curlewhub/tests/known_red.rs
@@ -1,8 +1,10 @@
-//! The list of tests that may fail, each with its command, what was seen and its issue.
+//! The check of the list of known failures: each entry names a test, its command, the observed failure and
+//! its issue.
 
 use std::process::Command;
 
-fn read(list: &str) -> (bool, String) {
+/// Runs `.ci/known-red` on a list, and returns whether it is valid and what was printed.
+fn check_list(list: &str) -> (bool, String) {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
     let file = std::env::temp_dir().join(format!("known-red-{}-{}", std::process::id(), list.len()));
     std::fs::write(&file, list).unwrap();
@@ -12,12 +14,12 @@
 }
 
 #[test]
-fn a_list_names_each_test_with_its_command_what_was_seen_and_its_issue() {
-    assert_eq!(read(""), (true, String::new()));
-    let four =
+fn a_valid_list_prints_its_tests_and_malformed_entries_are_rejected() {
+    assert_eq!(check_list(""), (true, String::new()));
+    let four_entries =
         "a::b | cargo test, seed 3 | it never comes | 36\n\nc::d|run|late|37\ne|run|late|38\nf|run|late|39";
-    assert_eq!(read(four), (true, "a::b\nc::d\ne\nf\n".to_owned()));
-    for wrong in [
+    assert_eq!(check_list(four_entries), (true, "a::b\nc::d\ne\nf\n".to_owned()));
+    for invalid in [
         "a::b",
         "a::b | run",
         "a::b | run | late",
@@ -26,12 +28,12 @@
         " | run | late | 36",
         "a | b | c | d | e",
     ] {
-        assert!(!read(wrong).0, "{wrong}");
+        assert!(!check_list(invalid).0, "{invalid}");
     }
 }
 
 #[test]
-fn the_repository_s_own_list_is_sound_where_there_is_one() {
+fn the_list_of_the_repository_is_valid_if_it_exists() {
     let list = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../KNOWN-RED.txt"));
-    assert!(list.is_err() || read(&list.unwrap()).0);
+    assert!(list.is_err() || check_list(&list.unwrap()).0);
 }
--- a/crates/curlewhub/tests/logs.rs
+++ b/crates/curlewhub/tests/logs.rs
@@ -1,4 +1,4 @@
-//! The limit on log lines of one call site.
+//! The rate limit on the log lines of a call site.
 
 use curlewhub::log_limit::CallSiteLimit;
 use std::sync::{Mutex, OnceLock};
@@ -23,15 +23,15 @@
 }
 
 #[test]
-fn lines_of_one_call_site_are_limited_and_counted_without_affecting_others() {
+fn log_lines_are_limited_and_dropped_lines_counted_per_call_site() {
     let [one, two] = call_sites();
     let limit = CallSiteLimit::new(3);
     let admitted = |call_site, second| (0..10).filter(|_| limit.admit(call_site, second)).count();
     assert_eq!((admitted(one, 0), admitted(two, 0)), (3, 3));
-    assert_eq!(admitted(one, 1), 3, "a new second");
+    assert_eq!(admitted(one, 1), 3, "the limit applies anew in each second");
     let mut dropped = limit.take_dropped();
     dropped.sort_by_key(|lines| lines.count);
     assert_eq!(dropped.iter().map(|lines| lines.count).collect::<Vec<_>>(), [7, 14]);
     assert!(dropped[0].call_site.contains("logs"), "{dropped:?}");
-    assert_eq!(limit.take_dropped(), [], "reported once");
+    assert_eq!(limit.take_dropped(), [], "dropped lines are reported only once");
 }
