--- a/crates/curlewhub/src/member.rs
+++ b/crates/curlewhub/src/member.rs
@@ -157,7 +157,7 @@
             .filter_map(|(zone, access)| Some((self.zone_id(zone)?, self.zone_admission(now, *access))))
             .collect();
         self.closed_zones = access.iter().filter(is_closed).count() as u64;
-        let _ = self.commands.send(Command::Zones(admissions)); // fails only while the process ends
+        let _ = self.commands.send(Command::SetZoneAdmissions(admissions)); // fails only while the process ends
         self.log_access(access);
     }
 
