--- a/crates/curlewhub/src/reload.rs
+++ b/crates/curlewhub/src/reload.rs
@@ -14,7 +14,7 @@
 pub struct Reloader {
     loaded: RefCell<LoadedConfig>,
     metrics: Rc<Metrics>,
-    calls: UnboundedSender<ListCommand>,
+    list_commands: UnboundedSender<ListCommand>,
     log: LogControl,
 }
 
@@ -23,10 +23,10 @@
     pub fn new(
         loaded: LoadedConfig,
         metrics: Rc<Metrics>,
-        calls: UnboundedSender<ListCommand>,
+        list_commands: UnboundedSender<ListCommand>,
         log: LogControl,
     ) -> Rc<Reloader> {
-        Rc::new(Reloader { loaded: RefCell::new(loaded), metrics, calls, log })
+        Rc::new(Reloader { loaded: RefCell::new(loaded), metrics, list_commands, log })
     }
 
     /// Reads the file again and applies its changes. An invalid file changes nothing; its errors are
@@ -78,10 +78,10 @@
         }
         // Sending fails only while the process ends.
         if let Some(address) = discovery {
-            let _ = self.calls.send(ListCommand::SetAddress(address));
+            let _ = self.list_commands.send(ListCommand::SetAddress(address));
         }
         if let Some(endpoints) = endpoints {
-            let _ = self.calls.send(ListCommand::ReplaceTargets(endpoints));
+            let _ = self.list_commands.send(ListCommand::ReplaceTargets(endpoints));
         }
     }
 }
--- a/crates/curlewhub/src/serve.rs
+++ b/crates/curlewhub/src/serve.rs
@@ -161,19 +161,19 @@
     }
 }
 
-/// The source of the endpoint list (discovery or the configuration file) and the queue of calls to it.
+/// The source of the endpoint list (discovery or the configuration file) and the queue of commands to it.
 struct ListSource {
     listing: Rc<Listing>,
     /// `None` if the list is static.
     discovery: Option<Rc<Discovery>>,
-    calls: UnboundedSender<ListCommand>,
+    list_commands: UnboundedSender<ListCommand>,
 }
 
 impl ListSource {
     /// Starts discovery or the static list. The initial list is queued at once, before any request.
     fn start(config: &Config, clock: Clock, inbox: &Inbox) -> Self {
         let listing = Listing::new(config.names.clone());
-        let (calls, call_queue) = mpsc::unbounded_channel();
+        let (list_commands, list_command_queue) = mpsc::unbounded_channel();
         let Some(address) = config.discovery else {
             let _ = inbox.send(Input::ListUpdate(listing.update(config.initial_list.clone())));
             spawn_local(static_list::run(
@@ -181,10 +181,10 @@
                 longest_deadline(config),
                 clock,
                 listing.clone(),
-                call_queue,
+                list_command_queue,
                 inbox.clone(),
             ));
-            return ListSource { listing, discovery: None, calls };
+            return ListSource { listing, discovery: None, list_commands };
         };
         let mode = config.settings.discovery;
         let discovery = Discovery::new(
@@ -196,8 +196,8 @@
             inbox.clone(),
         );
         let _ = inbox.send(Input::ListUpdate(discovery.cached(config.initial_list.clone())));
-        spawn_local(discovery.clone().run(call_queue));
-        ListSource { listing, discovery: Some(discovery), calls }
+        spawn_local(discovery.clone().run(list_command_queue));
+        ListSource { listing, discovery: Some(discovery), list_commands }
     }
 
     /// Waits for a current list: the initial one may be as old as the predecessor process.
@@ -208,7 +208,7 @@
         while !discovery.is_fresh() && start.elapsed() < FRESH_LIST_TIMEOUT {
             if requested_at.is_none_or(|at| at.elapsed() >= FRESH_LIST_REQUEST_INTERVAL) {
                 requested_at = Some(Instant::now());
-                let _ = self.calls.send(ListCommand::Fetch); // fails only while the process ends
+                let _ = self.list_commands.send(ListCommand::Fetch); // fails only while the process ends
             }
             sleep(FRESH_LIST_CHECK_INTERVAL).await;
         }
@@ -287,8 +287,8 @@
         handover.set_learned_state(learned_state.clone());
         let list_source = ListSource::start(&config, clock, &inbox);
         let idempotency_keys = open_idempotency_keys(&config, clock, metrics.clone());
-        let calls = list_source.calls.clone();
-        let reloader = Reloader::new(loaded, metrics.clone(), calls.clone(), log);
+        let list_commands = list_source.list_commands.clone();
+        let reloader = Reloader::new(loaded, metrics.clone(), list_commands.clone(), log);
         let fleet = member::join(&config, &metrics, &commands, clock, reloader.clone());
         let dependencies = Dependencies {
             outbound: outbound.clone(),
@@ -299,7 +299,7 @@
             call_observer: fleet.call_observer.clone(),
         };
         let max_attempts = config.settings.limits.max_attempts;
-        let driver = Driver::new(balancer, clock, max_attempts, dependencies, calls, inbox);
+        let driver = Driver::new(balancer, clock, max_attempts, dependencies, list_commands, inbox);
         let driver = spawn_local(driver.run(inputs, command_queue));
         spawn_local(outbound.clone().sweep());
         let startup = Startup { lifecycle, handover, bans, outbound, list_source, learned_state };
