--- a/crates/runtime/tests/discovery.rs
+++ b/crates/runtime/tests/discovery.rs
@@ -24,20 +24,20 @@
 /// module.
 struct FakeDiscovery {
     listener: TcpListener,
-    calls: UnboundedSender<ListCommand>,
+    commands: UnboundedSender<ListCommand>,
     inputs: UnboundedReceiver<Input>,
 }
 
 impl FakeDiscovery {
     async fn start() -> FakeDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (calls, call_receiver) = unbounded_channel();
+        let (commands, command_receiver) = unbounded_channel();
         let (inbox, inputs) = unbounded_channel();
         let listing = Listing::new(Names::default());
         let discovery =
             Discovery::new(listener.local_addr().unwrap(), Mode::Ask, &Rules::default(), listing, 7, inbox);
-        spawn_local(discovery.run(call_receiver));
-        FakeDiscovery { listener, calls, inputs }
+        spawn_local(discovery.run(command_receiver));
+        FakeDiscovery { listener, commands, inputs }
     }
 
     /// Accepts the next call and reads the head of its request.
@@ -80,7 +80,7 @@
 
 /// Opens a watch, and waits until its first list has been passed to the driver.
 async fn open_watch(discovery: &mut FakeDiscovery, rev: u64) -> TcpStream {
-    discovery.calls.send(ListCommand::Watch(true)).unwrap();
+    discovery.commands.send(ListCommand::Watch(true)).unwrap();
     let mut watch = discovery.accept_call().await;
     watch.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.unwrap();
     send_chunk(&mut watch, &format!("{}\n", list(rev, true, 2))).await;
@@ -98,7 +98,7 @@
     run(async {
         let mut discovery = FakeDiscovery::start().await;
         for _ in 0..10 {
-            discovery.calls.send(ListCommand::Fetch).unwrap();
+            discovery.commands.send(ListCommand::Fetch).unwrap();
         }
         let mut call = discovery.accept_call().await;
         assert!(
@@ -108,7 +108,7 @@
         respond(&mut call, &list(9, true, 1)).await;
         assert!(matches!(discovery.next_change().await, Membership::Full(entries) if entries.len() == 1));
         // A fetch after the response makes a new call.
-        discovery.calls.send(ListCommand::Fetch).unwrap();
+        discovery.commands.send(ListCommand::Fetch).unwrap();
         respond(&mut discovery.accept_call().await, &list(9, true, 3)).await;
         assert!(matches!(discovery.next_change().await, Membership::Full(entries) if entries.len() == 3));
     });
@@ -119,7 +119,7 @@
     run(async {
         let mut discovery = FakeDiscovery::start().await;
         let mut watch = open_watch(&mut discovery, 12).await;
-        discovery.calls.send(ListCommand::Fetch).unwrap();
+        discovery.commands.send(ListCommand::Fetch).unwrap();
         let mut call = discovery.accept_call().await;
         send_chunk(&mut watch, &format!("{}\n", list(13, false, 1))).await;
         assert!(matches!(discovery.next_change().await, Membership::Delta(entries) if entries.len() == 1));
@@ -133,7 +133,7 @@
     run(async {
         let mut discovery = FakeDiscovery::start().await;
         let _watch = open_watch(&mut discovery, 12).await;
-        discovery.calls.send(ListCommand::Fetch).unwrap();
+        discovery.commands.send(ListCommand::Fetch).unwrap();
         respond(&mut discovery.accept_call().await, &list(3, true, 5)).await;
         assert!(matches!(discovery.next_change().await, Membership::Full(entries) if entries.len() == 5));
     });
@@ -267,7 +267,7 @@
 /// A user of the discovery module. In [`Mode::Ask`] it also requests the retries, after the longest wait.
 struct DiscoveryCaller {
     mode: Mode,
-    calls: UnboundedSender<ListCommand>,
+    commands: UnboundedSender<ListCommand>,
     inputs: UnboundedReceiver<Input>,
     /// The failures and refusals that were reported to it, and when.
     failures: Vec<(Instant, Membership)>,
@@ -275,15 +275,15 @@
 
 impl DiscoveryCaller {
     fn start(address: SocketAddr, mode: Mode) -> DiscoveryCaller {
-        let (calls, call_receiver) = unbounded_channel();
+        let (commands, command_receiver) = unbounded_channel();
         let (inbox, inputs) = unbounded_channel();
         let discovery =
             Discovery::new(address, mode, &Rules::default(), Listing::new(Names::default()), 7, inbox);
-        spawn_local(discovery.run(call_receiver));
+        spawn_local(discovery.run(command_receiver));
         if mode == Mode::Ask {
-            calls.send(ListCommand::Watch(true)).unwrap();
+            commands.send(ListCommand::Watch(true)).unwrap();
         }
-        DiscoveryCaller { mode, calls, inputs, failures: Vec::new() }
+        DiscoveryCaller { mode, commands, inputs, failures: Vec::new() }
     }
 
     /// Waits for a list with this number of entries and returns the time of its arrival. In [`Mode::Ask`]
@@ -308,11 +308,11 @@
                         _ => MAX_JITTER,
                     };
                     self.failures.push((Instant::now(), failure));
-                    let calls = self.calls.clone();
+                    let commands = self.commands.clone();
                     if self.mode == Mode::Ask {
                         spawn_local(async move {
                             sleep(wait).await;
-                            let _ = calls.send(ListCommand::Watch(true));
+                            let _ = commands.send(ListCommand::Watch(true));
                         });
                     }
                 }
@@ -464,7 +464,7 @@
                 call_times,
             ));
             sleep(Duration::from_millis(2000)).await;
-            caller.calls.send(ListCommand::SetAddress(address)).unwrap();
+            caller.commands.send(ListCommand::SetAddress(address)).unwrap();
             let moved = Instant::now();
             let received = caller.wait_for_list(4).await - moved;
             assert!(received < NOTIFIED_WITHIN, "{mode:?}: received after {received:?}");
@@ -479,7 +479,7 @@
     run_with_paused_time(async {
         let mut discovery = FakeDiscovery::start().await;
         let mut watch = open_watch(&mut discovery, 12).await;
-        discovery.calls.send(ListCommand::Fetch).unwrap();
+        discovery.commands.send(ListCommand::Fetch).unwrap();
         let mut call = discovery.accept_call().await;
         call.write_all(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n").await.unwrap();
         assert!(matches!(discovery.next_change().await, Membership::Refused));
