--- a/crates/curlewhub/src/member.rs
+++ b/crates/curlewhub/src/member.rs
@@ -142,8 +142,8 @@
 impl ViewHandler for DecisionHandler {
     fn view_applied(&mut self, applied: &AppliedRecords, hash: Hash) {
         AppliedViewLog.view_applied(applied, hash);
-        if let Some(reply) = self.view_applied.take() {
-            let _ = reply.send(()); // fails if the wait has timed out
+        if let Some(notifier) = self.view_applied.take() {
+            let _ = notifier.send(()); // fails if the wait has timed out
         }
     }
 
@@ -157,7 +157,8 @@
             .filter_map(|(zone, access)| Some((self.zone_id(zone)?, self.zone_admission(now, *access))))
             .collect();
         self.closed_zones = access.iter().filter(is_closed).count() as u64;
-        let _ = self.commands.send(Command::SetZoneAdmissions(admissions)); // fails only while the process ends
+        // Sending fails only while the process ends.
+        let _ = self.commands.send(Command::SetZoneAdmissions(admissions));
         self.log_access(access);
     }
 
