--- a/crates/curlewhub/tests/swallowed.rs
+++ b/crates/curlewhub/tests/lost_responses.rs
@@ -1,4 +1,4 @@
-//! The built sidecar where single answers never come.
+//! Runs the built sidecar with endpoints that never respond to single requests.
 
 #[path = "support/mod.rs"]
 mod support;
@@ -9,13 +9,13 @@
 use support::*;
 
 #[test]
-fn a_safe_request_whose_answer_alone_never_comes_is_sent_again_before_its_time_is_up() {
-    let swallowed = Arc::<Mutex<HashSet<String>>>::default();
+fn a_safe_request_without_a_response_is_hedged_before_its_deadline() {
+    let withheld = Arc::<Mutex<HashSet<String>>>::default();
     let peer = || {
-        let swallowed = swallowed.clone();
+        let withheld = withheld.clone();
         Peer::new(move |message| {
             let id = message.header("x-request-id");
-            let first = id.starts_with("lost") && swallowed.lock().unwrap().insert(id.to_owned());
+            let first = id.starts_with("lost") && withheld.lock().unwrap().insert(id.to_owned());
             if first { Do::Silence } else { Do::Late(Duration::from_millis(20)) }
         })
     };
@@ -23,17 +23,17 @@
     let sidecar = Sidecar::start(&config(&[&a, &b]));
     let mut client = sidecar.client();
     let mut number = 0;
-    // Many timely answers to each that never comes: silence is never evident. Where the machine is so slow
-    // that answers come late, copies are not to be sent; then it is tried again.
-    wait_for("an answer from a second copy", || {
+    // Many on-time responses for each missing one, so that the endpoint never appears silent. On a machine
+    // so slow that responses are late, no second copy may be sent; the test then tries again.
+    wait_for("a response to a second copy", || {
         for _ in 0..25 {
             number += 1;
             assert_eq!(client.ask("quote", &format!("r{number}")).status(), 200);
         }
         let mut other = sidecar.client();
         other.send(&request("quote", &format!("lost{number}"), "3000m"));
-        let answer = other.receive().expect("an answer");
-        answer.status() == 200
+        let response = other.receive().expect("a response");
+        response.status() == 200
     });
-    assert!(!swallowed.lock().unwrap().is_empty());
+    assert!(!withheld.lock().unwrap().is_empty());
 }
--- /dev/null
+++ b/crates/curlewhub/tests/races/cancelled_attempts.rs
@@ -0,0 +1,206 @@
+//! Events during the wait of an attempt: its client disconnects, its endpoint drains, is detached or moves,
+//! or its retry window passes. The attempt must not begin after that, whether or not the settings allow
+//! cancellation.
+
+use super::support::script::*;
+use super::support::*;
+use serde_json::{Value, json};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// An attempt that is wrongly allowed begins within this time after the endpoint accepts connections: the
+/// kernel's next connection attempt plus a margin.
+const ATTEMPT_WINDOW: Duration = Duration::from_millis(3500);
+
+/// How a client disconnects.
+#[derive(Clone, Copy, Debug)]
+enum Disconnect {
+    Closes,
+    Resets,
+    HalfCloses,
+    ClosesAfterMoreBytes,
+}
+
+const DISCONNECTS: [Disconnect; 4] =
+    [Disconnect::Closes, Disconnect::Resets, Disconnect::HalfCloses, Disconnect::ClosesAfterMoreBytes];
+
+fn disconnect(mut client: Wire, how: Disconnect) -> Option<Wire> {
+    match how {
+        Disconnect::Closes => drop(client),
+        Disconnect::Resets => client.reset(),
+        // The protocol page has no clients that half-close and wait: a half-close counts as a disconnect.
+        Disconnect::HalfCloses => {
+            client.half_close();
+            return Some(client);
+        }
+        Disconnect::ClosesAfterMoreBytes => {
+            client.write("GET /quote/y HTTP/1.1\r\n");
+            drop(client);
+        }
+    }
+    None
+}
+
+/// A sidecar with debug logs and one endpoint whose connection takes long to establish.
+fn sidecar_connecting_to(slow_endpoint: SocketAddr, change: impl FnOnce(&mut Value)) -> Sidecar {
+    let mut config = operated(&[]);
+    config["known"] = list(7, true, &[target("s-0", slow_endpoint, "up")]);
+    config["settings"]["limits"]["connectTimeoutMs"] = json!(8000.0);
+    change(&mut config);
+    Sidecar::start_with(&config, "RUST_LOG=debug")
+}
+
+/// A client whose request waits for the connection to its endpoint.
+fn client_waiting_for_connection(sidecar: &Sidecar, class: &str) -> Wire {
+    let mut client = Wire::connect(sidecar.address);
+    client.write(&request(class, "r1", "10000m"));
+    sidecar.says(" class=");
+    client
+}
+
+#[test]
+fn no_attempt_begins_for_a_client_that_left_while_the_connection_was_being_established() {
+    std::thread::scope(|scope| {
+        for (how, cancelling) in DISCONNECTS.into_iter().flat_map(|how| [(how, true), (how, false)]) {
+            scope.spawn(move || {
+                let slow_endpoint = SlowDoor::shut();
+                let sidecar = sidecar_connecting_to(slow_endpoint.address, |config| {
+                    config["settings"]["limits"]["cancelling"] = json!(cancelling);
+                });
+                let _open = disconnect(client_waiting_for_connection(&sidecar, "quote"), how);
+                wait_for("the disconnect to be noticed", || sidecar.figure("inflight") == 0);
+                let endpoint = slow_endpoint.open();
+                assert!(endpoint.hears_nothing(ATTEMPT_WINDOW), "{how:?}, cancelling {cancelling}");
+            });
+        }
+    });
+}
+
+#[test]
+fn no_attempt_begins_for_a_client_that_left_while_there_was_no_endpoint() {
+    for how in DISCONNECTS {
+        let (discovery, endpoint) = (Stage::new(), Stage::new());
+        let mut config = operated(&[]);
+        config["discovery"] = json!(discovery.address.to_string());
+        config["settings"]["limits"]["cancelling"] = json!(false);
+        let sidecar = Sidecar::start_with(&config, "RUST_LOG=debug");
+        let (mut watch, _) = discovery.request();
+        let _open = disconnect(client_waiting_for_connection(&sidecar, "quote"), how);
+        wait_for("the disconnect to be noticed", || sidecar.figure("inflight") == 0);
+        watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        watch.chunk(&format!("{}\n", list(8, false, &[target("s-0", endpoint.address, "up")])));
+        wait_for("the endpoint", || sidecar.figure("hosts_listed") == 1);
+        assert!(endpoint.hears_nothing(Duration::from_millis(300)), "{how:?}");
+    }
+}
+
+/// Change to the endpoint while the connection to it is being established.
+#[derive(Clone, Copy, Debug)]
+enum Change {
+    Drains,
+    IsRemoved,
+    Moves,
+    IsMissing,
+    IsBanned,
+}
+
+#[test]
+fn no_attempt_begins_at_an_endpoint_that_became_unusable_while_its_connection_was_being_established() {
+    use Change::*;
+    std::thread::scope(|scope| {
+        for (change_kind, class) in [Drains, IsRemoved, Moves, IsMissing, IsBanned]
+            .into_iter()
+            .flat_map(|change_kind| [(change_kind, "quote"), (change_kind, "book")])
+        {
+            scope.spawn(move || {
+                let (slow_endpoint, other, discovery) =
+                    (SlowDoor::shut(), Peer::serving("ok"), Stage::new());
+                let address = slow_endpoint.address;
+                let sidecar = sidecar_connecting_to(address, |config| {
+                    config["discovery"] = json!(discovery.address.to_string())
+                });
+                let (mut watch, _) = discovery.request();
+                watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                let mut client = client_waiting_for_connection(&sidecar, class);
+                let other_entry = target("s-1", other.address, "up");
+                let line = match change_kind {
+                    Drains => list(8, false, &[other_entry, target("s-0", address, "draining")]),
+                    IsRemoved => list(8, false, &[other_entry, target("s-0", address, "removed")]),
+                    Moves => list(8, false, &[target("s-0", other.address, "up")]),
+                    IsMissing => list(8, true, &[other_entry]),
+                    IsBanned => list(8, false, &[other_entry]),
+                };
+                watch.chunk(&format!("{line}\n"));
+                sidecar.says("rev=8 ");
+                if let IsBanned = change_kind {
+                    wait_for("the other endpoint", || sidecar.figure("hosts_listed") == 2);
+                    assert_eq!(sidecar.call("DETACH s-0"), "YES\n");
+                }
+                assert!(slow_endpoint.open().hears_nothing(ATTEMPT_WINDOW), "{change_kind:?}, {class}");
+                // The request never ran there, so it is retried elsewhere whatever its class.
+                let response = client.read().expect("a response");
+                assert_eq!(
+                    (response.status(), &response.body[..]),
+                    (200, &b"ok"[..]),
+                    "{change_kind:?}, {class}"
+                );
+            });
+        }
+    });
+}
+
+#[test]
+fn a_retry_of_a_keyed_job_begins_within_its_window_or_not_at_all() {
+    let (first, slow_endpoint) = (Stage::new(), SlowDoor::shut());
+    // Two endpoints: whichever is chosen first for a job, one of them breaks the connection during it.
+    let sidecar = sidecar_connecting_to(first.address, |config| {
+        config["settings"]["classes"][2]["repeatWindowMs"] = json!(400.0);
+        config["known"] = list(
+            7,
+            true,
+            &[target("s-0", first.address, "up"), target("s-1", slow_endpoint.address, "up")],
+        );
+    });
+    let mut jobs = Vec::new();
+    let interrupted = loop {
+        let mut client = Wire::connect(sidecar.address);
+        client.write(&request("pay", &format!("j{}", jobs.len()), "9000m"));
+        jobs.push(client);
+        // A job for the endpoint that is not connected yet waits.
+        if let Some(mut wire) = first.take_within(Duration::from_millis(500)) {
+            assert!(wire.read().is_some());
+            break wire;
+        }
+    };
+    interrupted.reset();
+    std::thread::sleep(Duration::from_millis(450)); // longer than the window
+    // The retry goes to the other endpoint, whose connection is not established within the window.
+    let mut last = jobs.pop().expect("the interrupted job");
+    drop(jobs);
+    wait_for("the other disconnects to be noticed", || sidecar.figure("inflight") <= 1);
+    assert!(slow_endpoint.open().hears_nothing(ATTEMPT_WINDOW));
+    let response = last.read().expect("a response");
+    assert!(matches!(response.status(), 502 | 503), "it may not be retried: {}", response.first_line);
+}
+
+#[test]
+fn no_attempt_begins_for_a_burst_of_clients_0_1_seconds_after_they_left() {
+    for cancelling in [true, false] {
+        let slow_endpoint = SlowDoor::shut();
+        let sidecar = sidecar_connecting_to(slow_endpoint.address, |config| {
+            config["settings"]["limits"]["cancelling"] = json!(cancelling);
+        });
+        let ask = |n: usize| {
+            let mut client = Wire::connect(sidecar.address);
+            client.write(&request("quote", &format!("b{n}"), "10000m"));
+            client
+        };
+        let clients: Vec<Wire> = (0..100).map(ask).collect();
+        wait_for("all of them to wait", || sidecar.figure("inflight") == 100);
+        drop(clients);
+        // The operators' limit: an attempt that begins more than 0.1 s after its client left is a
+        // violation.
+        std::thread::sleep(Duration::from_millis(100));
+        assert!(slow_endpoint.open().hears_nothing(ATTEMPT_WINDOW), "cancelling {cancelling}");
+    }
+}
--- a/crates/curlewhub/tests/crossings/last_moments.rs
+++ b/crates/curlewhub/tests/races/deadlines.rs
@@ -1,5 +1,5 @@
-//! What is told, begun and answered in the last moments of a request's time, of a client's stay, and of a process that
-//! is held up between its clock and its write.
+//! Races of a request with its deadline, with its client's disconnect, and with a process that stalls
+//! between reading its clock and writing.
 
 use super::support::discovery::Discovery;
 use super::support::script::*;
@@ -9,68 +9,75 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The standing test: what is told of the time may exceed what the client has left by this.
+/// Limit of the standing test: the timeout sent to an endpoint may exceed the time that the client has left
+/// by this.
 const TIME_SLACK: Duration = Duration::from_millis(150);
-/// The standing test: a process may be held up for so long between its clock and its write.
-const HELD_UP: Duration = Duration::from_millis(150);
-/// Clients that stop are owed an error or a close within this.
-const OWED: Duration = Duration::from_secs(3);
-/// A client's time in these tests.
-const TIME: Duration = Duration::from_secs(10);
+/// Limit of the standing test: a process may stall this long between reading its clock and writing.
+const STALL: Duration = Duration::from_millis(150);
+/// Clients that stop sending must get an error or a close within this time.
+const CLOSE_WITHIN: Duration = Duration::from_secs(3);
+/// The timeout of client requests in these tests.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a request tells its endpoint of the time.
-fn told(message: &Message) -> Duration {
+/// The timeout that a request passes to its endpoint.
+fn reported_timeout(message: &Message) -> Duration {
     let text = message.header("x-timeout");
     Duration::from_micros(text.strip_suffix('u').expect("microseconds").parse().expect("a number"))
 }
 
-fn assert_told_at_most(message: &Message, asked: Instant, what: &str) {
-    let left = TIME.saturating_sub(asked.elapsed());
-    assert!(told(message) <= left + TIME_SLACK, "{what}: told {:?}, left {left:?}", told(message));
+fn assert_timeout_at_most(message: &Message, sent: Instant, what: &str) {
+    let left = TIMEOUT.saturating_sub(sent.elapsed());
+    assert!(
+        reported_timeout(message) <= left + TIME_SLACK,
+        "{what}: timeout {:?}, left {left:?}",
+        reported_timeout(message)
+    );
 }
 
-fn knows(stages: &[std::net::SocketAddr]) -> Value {
+fn config_with_endpoints(listeners: &[std::net::SocketAddr]) -> Value {
     let mut config = operated(&[]);
     let entry = |(n, at): (usize, &std::net::SocketAddr)| target(&format!("s-{n}"), *at, "up");
-    config["known"] = list(7, true, &stages.iter().enumerate().map(entry).collect::<Vec<_>>());
+    config["known"] = list(7, true, &listeners.iter().enumerate().map(entry).collect::<Vec<_>>());
     config["settings"]["limits"]["connectTimeoutMs"] = json!(8000.0);
     config
 }
 
 #[test]
-fn an_endpoint_is_told_what_is_left_when_its_connection_is_up_and_not_when_that_was_asked_for() {
+fn x_timeout_is_the_time_left_when_the_connection_is_established_not_when_it_was_started() {
     for class in ["quote", "book", "pay"] {
-        let door = SlowDoor::shut();
-        let sidecar = Sidecar::start_with(&knows(&[door.address]), "RUST_LOG=debug");
+        let slow_endpoint = SlowDoor::shut();
+        let sidecar =
+            Sidecar::start_with(&config_with_endpoints(&[slow_endpoint.address]), "RUST_LOG=debug");
         let mut client = Wire::connect(sidecar.address);
-        let asked = Instant::now();
+        let sent = Instant::now();
         client.write(&request(class, "r1", "10000m"));
         sidecar.says(" class=");
-        // The dialler's machine tries again a second after it began.
-        let (mut wire, message) = door.open().request();
-        assert_told_at_most(&message, asked, class);
+        // The kernel repeats the connection attempt one second after the first.
+        let (mut wire, message) = slow_endpoint.open().request();
+        assert_timeout_at_most(&message, sent, class);
         wire.write(&answer("200 OK", "", "ok"));
-        assert_eq!(client.read().expect("an answer").status(), 200, "{class}");
+        assert_eq!(client.read().expect("a response").status(), 200, "{class}");
     }
 }
 
 #[test]
-fn a_repeat_is_told_what_is_left_by_then() {
+fn x_timeout_of_a_retry_is_the_time_left_at_the_retry() {
     for class in ["quote", "pay"] {
-        let stages = [Stage::new(), Stage::new()];
-        let sidecar = Sidecar::start(&knows(&[stages[0].address, stages[1].address]));
+        let listeners = [Stage::new(), Stage::new()];
+        let sidecar = Sidecar::start(&config_with_endpoints(&[listeners[0].address, listeners[1].address]));
         let mut client = Wire::connect(sidecar.address);
-        let asked = Instant::now();
+        let sent = Instant::now();
         client.write(&request(class, "r1", "10000m"));
         let mut attempts = 0;
         loop {
-            let taken = stages.iter().find_map(|stage| stage.take_within(Duration::from_millis(5)));
+            let taken =
+                listeners.iter().find_map(|listener| listener.take_within(Duration::from_millis(5)));
             let Some((mut wire, message)) = taken.and_then(|mut wire| wire.read().map(|read| (wire, read)))
             else {
-                assert!(asked.elapsed() < TIME, "no repeat came");
+                assert!(sent.elapsed() < TIMEOUT, "no retry arrived");
                 continue;
             };
-            assert_told_at_most(&message, asked, class);
+            assert_timeout_at_most(&message, sent, class);
             attempts += 1;
             if attempts == 2 {
                 wire.write(&answer("200 OK", "", "ok"));
@@ -79,39 +86,44 @@
             thread::sleep(Duration::from_millis(400));
             wire.reset();
         }
-        assert_eq!(client.read().expect("an answer").status(), 200, "{class}");
+        assert_eq!(client.read().expect("a response").status(), 200, "{class}");
     }
 }
 
 #[test]
-fn nothing_begins_for_a_client_that_leaves_while_the_process_is_held_up() {
-    for come_first in [false, true] {
-        let door = SlowDoor::shut();
-        let sidecar = Sidecar::start_with(&knows(&[door.address]), "RUST_LOG=debug");
+fn no_attempt_begins_for_a_client_that_disconnects_while_the_process_is_stopped() {
+    for connect_first in [false, true] {
+        let slow_endpoint = SlowDoor::shut();
+        let sidecar =
+            Sidecar::start_with(&config_with_endpoints(&[slow_endpoint.address]), "RUST_LOG=debug");
         let mut client = Wire::connect(sidecar.address);
         client.write(&request("quote", "r1", "10000m"));
         sidecar.says(" class=");
         sidecar.signal("-STOP");
-        // While it is held up its connection comes up and its client leaves, in either order.
+        // While the process is stopped, its connection is established and its client disconnects, in either
+        // order.
         let mut client = Some(client);
-        if !come_first {
+        if !connect_first {
             drop(client.take());
         }
-        let mut wire = door.open().take();
+        let mut wire = slow_endpoint.open().take();
         drop(client.take());
         sidecar.signal("-CONT");
-        assert!(wire.read_within(Duration::from_millis(800)).is_none(), "connection first: {come_first}");
+        assert!(
+            wire.read_within(Duration::from_millis(800)).is_none(),
+            "connection first: {connect_first}"
+        );
     }
 }
 
 #[test]
-fn a_client_that_stops_in_the_middle_of_a_body_gets_its_error_or_close_in_time() {
+fn a_client_that_stalls_in_the_middle_of_a_body_gets_an_error_or_close_within_3_seconds() {
     let peer = Peer::serving("ok");
     let sidecar = Sidecar::start(&config(&[&peer]));
     let whole = request("book", "r1", "20000m");
     let with =
         |framing: &str| whole.replace("Content-Length: 4", framing).replace("\r\n\r\nbody", "\r\n\r\n");
-    // What is sent at once, and what then in pieces until it stops.
+    // The head, a piece of the body, and how often the piece is repeated before the client stalls.
     let cases = [
         (with("Content-Length: 900000"), "x".repeat(500_000), 0),
         (with("Content-Length: 9000000"), "x".repeat(3_000_000), 0),
@@ -132,10 +144,14 @@
                     wire.write(piece);
                 }
                 let stopped = Instant::now();
-                // The way to the end; its lingering is over before this too.
+                // Covers all bytes up to the end of the connection; lingering ends within this time too.
                 let (_, end) = wire.rest(Duration::from_secs(8));
                 assert_ne!(end, End::Open, "case {n}");
-                assert!(stopped.elapsed() < OWED, "case {n}: {:?} after it stopped", stopped.elapsed());
+                assert!(
+                    stopped.elapsed() < CLOSE_WITHIN,
+                    "case {n}: {:?} after the client stalled",
+                    stopped.elapsed()
+                );
             });
         }
     });
@@ -143,37 +159,41 @@
 }
 
 #[test]
-fn what_a_client_sends_ahead_while_a_long_answer_comes_is_refused_or_closed_in_time() {
-    let good = request("book", "ahead", "9000m");
-    let both = good.replace("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked");
+fn pipelined_bytes_during_a_long_response_are_rejected_or_closed_within_3_seconds() {
+    let valid = request("book", "ahead", "9000m");
+    let both = valid.replace("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked");
     for (ahead, what) in
-        [(&good[..40], "half a head"), (&good[..], "a whole one"), (&both[..], "two framings")]
+        [(&valid[..40], "half a head"), (&valid[..], "a complete request"), (&both[..], "two framings")]
     {
-        let stage = Stage::new();
-        let sidecar = Sidecar::start(&knows(&[stage.address]));
+        let listener = Stage::new();
+        let sidecar = Sidecar::start(&config_with_endpoints(&[listener.address]));
         let mut client = Wire::connect(sidecar.address);
         client.write(&request("quote", "r1", "9000m"));
-        let (mut endpoint, _) = stage.request();
+        let (mut endpoint, _) = listener.request();
         endpoint.write("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n");
         endpoint.write(&"y".repeat(99_999));
-        assert!(client.has_more(PATIENCE), "it flows");
+        assert!(client.has_more(PATIENCE), "the response is streamed");
         client.write(ahead);
         thread::sleep(Duration::from_millis(100));
         endpoint.write("y");
-        let first = client.read().expect("the first answer stays whole");
+        let first = client.read().expect("the first response stays complete");
         assert_eq!((first.status(), first.body.len()), (200, 100_000), "{what}");
         let start = Instant::now();
         let (rest, end) = client.rest(Duration::from_secs(8));
-        assert!(end != End::Open && start.elapsed() < OWED, "{what}: {end:?} after {:?}", start.elapsed());
+        assert!(
+            end != End::Open && start.elapsed() < CLOSE_WITHIN,
+            "{what}: {end:?} after {:?}",
+            start.elapsed()
+        );
         let rest = String::from_utf8_lossy(&rest).into_owned();
         assert!(rest.is_empty() || rest.starts_with("HTTP/1.1 4"), "{what}: {rest}");
-        assert!(stage.hears_nothing(Duration::from_millis(100)), "{what} went on");
+        assert!(listener.hears_nothing(Duration::from_millis(100)), "{what} was forwarded");
     }
 }
 
 #[test]
-fn a_request_with_hardly_any_time_left_gets_one_answer_whatever_becomes_of_it() {
-    // Endpoints drop it without a word, hold it, or answer too late.
+fn a_request_with_a_timeout_of_milliseconds_gets_exactly_one_response() {
+    // The endpoints close without a response, never respond, or respond too late.
     let peers = [
         Peer::new(|_| Do::WriteAndClose(String::new())),
         Peer::new(|_| Do::Silence),
@@ -185,25 +205,25 @@
         let mut wire = Wire::connect(sidecar.address);
         let start = Instant::now();
         wire.write(&request(class, &format!("r{n}"), &format!("{}m", left.as_millis())));
-        wire.read().unwrap_or_else(|| panic!("{class} with {left:?}: an answer"));
-        // It earns nothing after its time, and is lost half a second later.
+        wire.read().unwrap_or_else(|| panic!("{class} with {left:?}: no response"));
+        // A response earns nothing after the deadline, and counts as lost half a second later.
         assert!(start.elapsed() < left + Duration::from_millis(500), "{class}: {:?}", start.elapsed());
-        assert!(!wire.has_more(Duration::from_millis(50)), "{class}: one answer");
+        assert!(!wire.has_more(Duration::from_millis(50)), "{class}: more than one response");
     }
 }
 
 #[test]
-fn an_answer_with_no_length_is_forwarded_where_it_comes_whole_and_not_where_it_is_reset() {
+fn a_response_without_a_length_is_forwarded_as_complete_only_if_it_is_not_reset() {
     for length in [1, 1000, 60_000, 200_000] {
         for version in ["1.0", "1.1"] {
-            let stage = Stage::new();
-            let sidecar = Sidecar::start(&knows(&[stage.address]));
+            let listener = Stage::new();
+            let sidecar = Sidecar::start(&config_with_endpoints(&[listener.address]));
             let body = "y".repeat(length);
             for whole in [true, false] {
                 let mut client = Wire::connect(sidecar.address);
                 client
                     .write(&request("book", &format!("r{whole}"), "9000m").replace("HTTP/1.1", "HTTP/1.0"));
-                let (mut endpoint, _) = stage.request();
+                let (mut endpoint, _) = listener.request();
                 endpoint.write(&format!("HTTP/{version} 200 OK\r\n\r\n"));
                 endpoint.write(&body);
                 if whole {
@@ -223,42 +243,42 @@
 }
 
 #[test]
-fn of_new_configurations_in_quick_succession_the_last_one_holds_and_nothing_open_is_lost() {
+fn the_last_of_several_quick_reloads_takes_effect_and_no_open_request_is_lost() {
     let peers: Vec<Peer> = ["0", "1", "2", "3", "4", "5"].into_iter().map(Peer::serving).collect();
     let lists = |(n, peer): (usize, &Peer)| {
         Discovery::new(list(50 - n as u64, true, &[target(&format!("s-{n}"), peer.address, "up")]))
     };
-    let found: Vec<Discovery> = peers.iter().enumerate().map(lists).collect();
+    let discoveries: Vec<Discovery> = peers.iter().enumerate().map(lists).collect();
     let mut config = operated(&[&peers[0]]);
-    config["discovery"] = json!(found[0].address.to_string());
+    config["discovery"] = json!(discoveries[0].address.to_string());
     let mut sidecar = Sidecar::start(&config);
     let load = Load::start(&sidecar, 4);
     for turn in 1..=20 {
-        config["discovery"] = json!(found[turn % 5].address.to_string());
+        config["discovery"] = json!(discoveries[turn % 5].address.to_string());
         sidecar.reload(&config.to_string());
         if turn % 3 == 0 {
             sidecar.signal("-HUP");
         }
         thread::sleep(Duration::from_millis(7 * (turn as u64 % 4)));
     }
-    config["discovery"] = json!(found[5].address.to_string());
+    config["discovery"] = json!(discoveries[5].address.to_string());
     sidecar.reload(&config.to_string());
-    wait_for("the last one's list", || sidecar.ask("quote", "r").body == b"5");
+    wait_for("the list of the last configuration", || sidecar.ask("quote", "r").body == b"5");
     for n in 0..30 {
-        assert_eq!(sidecar.ask("book", &format!("s{n}")).body, b"5", "an earlier one's late word");
+        assert_eq!(sidecar.ask("book", &format!("s{n}")).body, b"5", "an earlier list was applied late");
     }
     assert!(load.end() > 0);
     assert!(sidecar.child.try_wait().unwrap().is_none());
 }
 
 #[test]
-fn a_drain_that_is_told_to_a_process_that_is_held_up_is_kept_within_its_grace() {
+fn a_drain_notified_to_a_stopped_process_takes_effect_within_the_grace_period() {
     const GRACE: Duration = Duration::from_millis(250);
-    let came = Arc::new(Mutex::new(Vec::new()));
+    let arrivals = Arc::new(Mutex::new(Vec::new()));
     let leaving = {
-        let came = came.clone();
+        let arrivals = arrivals.clone();
         Peer::new(move |_| {
-            came.lock().unwrap().push(Instant::now());
+            arrivals.lock().unwrap().push(Instant::now());
             Do::Serve("ok")
         })
     };
@@ -270,43 +290,44 @@
         config["discovery"] = json!(discovery.address.to_string());
         let sidecar = Sidecar::start(&config);
         let load = Load::start(&sidecar, 6);
-        let before = came.lock().unwrap().len();
-        wait_for("its use", || came.lock().unwrap().len() > before + 20);
-        // Held up at some moment between a choice and its write.
+        let before = arrivals.lock().unwrap().len();
+        wait_for("requests at the endpoint", || arrivals.lock().unwrap().len() > before + 20);
+        // Stops the process at a varying moment between choosing an endpoint and writing.
         thread::sleep(Duration::from_micros(713 * turn));
         sidecar.signal("-STOP");
         let drained = Instant::now();
         discovery.say(&list(9, false, &[target("s-0", leaving.address, "draining")]).to_string());
-        thread::sleep(HELD_UP);
+        thread::sleep(STALL);
         sidecar.signal("-CONT");
         thread::sleep(GRACE * 2);
-        let last = came.lock().unwrap().iter().copied().max().unwrap();
-        assert!(last <= drained + GRACE, "something new {:?} after it was told", last - drained);
+        let last = arrivals.lock().unwrap().iter().copied().max().unwrap();
+        assert!(last <= drained + GRACE, "new request {:?} after the notification", last - drained);
         assert!(load.end() > 0);
     }
 }
 
 #[test]
-fn a_request_that_crosses_the_end_of_an_unused_or_resting_connection_is_not_read() {
-    // Longer than a connection that ended by our will is kept.
-    const KEPT: Duration = Duration::from_millis(1500);
+fn a_request_that_crosses_the_close_of_an_unused_or_idle_connection_is_not_read() {
+    // Longer than a connection is kept after the sidecar closed its side.
+    const MAX_LINGER: Duration = Duration::from_millis(1500);
     let peer = Peer::serving("ok");
     let mut sidecar = Sidecar::start(&config(&[&peer]));
     let mut unused = Wire::connect(sidecar.address);
-    let mut resting = Wire::connect(sidecar.address);
-    resting.write(&request("quote", "r0", "9000m"));
-    assert_eq!(resting.read().expect("an answer").status(), 200);
-    // It never ends its side, and holds the process until the others have been looked at.
+    let mut idle = Wire::connect(sidecar.address);
+    idle.write(&request("quote", "r0", "9000m"));
+    assert_eq!(idle.read().expect("a response").status(), 200);
+    // This client never closes its side, which keeps the process alive until the others have been checked.
     let mut open = Wire::connect(sidecar.address);
     open.write(&request("book", "open", "9000m").replace("Content-Length: 4", "Content-Length: 90000"));
     sidecar.signal("-TERM");
-    for (wire, what) in [(&mut unused, "unused"), (&mut resting, "resting")] {
+    for (wire, what) in [(&mut unused, "unused"), (&mut idle, "idle")] {
         assert_eq!(wire.ended(), End::Closed, "{what}");
         wire.write(&request("book", "late", "9000m"));
     }
-    thread::sleep(KEPT);
-    // What was read, and has no answer, would be lost; what was not is turned back by a reset.
-    for (wire, what) in [(&unused, "unused"), (&resting, "resting")] {
+    thread::sleep(MAX_LINGER);
+    // A request that was read without a response would be lost; one that was not read is rejected by a
+    // reset.
+    for (wire, what) in [(&unused, "unused"), (&idle, "idle")] {
         assert!(wire.was_reset(), "{what}: its request was read");
     }
     drop(open);
--- a/crates/curlewhub/tests/crossings/limits.rs
+++ b/crates/curlewhub/tests/races/limits.rs
@@ -1,4 +1,4 @@
-//! Descriptors, floods and starts, while discovery is down or slow.
+//! Descriptor limits, request floods and process starts while discovery is down or slow.
 
 use super::support::discovery::Discovery;
 use super::support::script::*;
@@ -8,49 +8,52 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn idle_clients_that_hold_all_descriptors_while_discovery_is_down_keep_nobody_from_their_own() {
+fn idle_clients_that_use_all_descriptors_block_neither_operators_nor_new_clients_nor_discovery() {
     let (peer, new) = (Peer::serving("old"), Peer::serving("new"));
     let mut config = operated(&[&peer]);
     config["limits"]["sockets"] = json!(128);
-    let door = nowhere();
-    config["discovery"] = json!(door.to_string());
+    let discovery_address = nowhere();
+    config["discovery"] = json!(discovery_address.to_string());
     config["settings"]["discovery"] = json!("automatic");
-    // The kernel holds it to the same figure.
+    // The kernel enforces the same limit.
     let sidecar = Sidecar::start_with(&config, "ulimit -n 128;");
-    // They have been served, rest, and never leave; others have said nothing.
-    let mut resting = Vec::new();
+    // Half of the clients have been served and stay idle, the others have sent nothing; none disconnects.
+    let mut idle = Vec::new();
     for n in 0..120 {
         let mut wire = Wire::connect(sidecar.address);
         if n % 2 == 0 {
             wire.write(&request("quote", &format!("i{n}"), "9000m"));
-            wire.read().expect("an answer, served or turned away");
+            wire.read().expect("a response, served or rejected");
         }
-        resting.push(wire);
+        idle.push(wire);
     }
     assert!(sidecar.descriptors() <= 128);
-    // Operators, new clients and discovery, once it is back, get theirs.
+    // Operators, new clients and discovery, once it is back, get descriptors.
     assert_eq!(sidecar.call("PING"), "YES\n");
     wait_for("a new client to be served", || sidecar.ask("quote", "n").status() == 200);
     let before = sidecar.ticks();
     std::thread::sleep(Duration::from_secs(1));
-    assert!(sidecar.ticks() - before < 50, "it spins");
+    assert!(sidecar.ticks() - before < 50, "the sidecar spins");
     let back = Instant::now();
-    let discovery = Discovery::at(door, list(8, true, &[target("s-new", new.address, "up")]));
+    let discovery = Discovery::at(discovery_address, list(8, true, &[target("s-new", new.address, "up")]));
     wait_for("the new list", || sidecar.ask("quote", "m").body == b"new");
-    assert!(back.elapsed() < Duration::from_secs(8), "told, and a slow machine's margin");
+    assert!(
+        back.elapsed() < Duration::from_secs(8),
+        "the notification limit plus a margin for a slow machine"
+    );
     assert!(!discovery.calls().is_empty() && sidecar.descriptors() <= 128);
-    drop(resting);
+    drop(idle);
 }
 
 #[test]
-fn nobody_who_is_closed_for_room_loses_a_request() {
+fn no_request_is_lost_when_connections_are_closed_to_free_descriptors() {
     let peer = Peer::new(|_| Do::Late(Duration::from_millis(5)));
     let mut config = config(&[&peer]);
     config["limits"]["sockets"] = json!(96);
     let sidecar = Sidecar::start(&config);
-    // Kept connections in use, while others come all the time, say nothing, and want room.
+    // Keep-alive connections are in use while others keep arriving, send nothing and need descriptors.
     let address = sidecar.address;
-    let crowd = std::thread::spawn(move || {
+    let flood = std::thread::spawn(move || {
         let mut silent = Vec::new();
         for _ in 0..400 {
             silent.extend(std::net::TcpStream::connect(address));
@@ -60,35 +63,38 @@
     for n in 0..40 {
         let mut wire = Wire::connect(sidecar.address);
         let mut turn = 0;
-        // A first request may cross the close of a connection that had said nothing until then: its client asks
-        // again. Once one has been answered, only an answer that says so is the last.
+        // A first request may cross the close of a connection that was silent until then: its client
+        // retries. After the first response, only a response with `connection: close` may be the last.
         loop {
             wire.write(&request("book", &format!("k{n}-{turn}"), "9000m"));
-            let answer = wire.read();
-            assert!(answer.is_some() || turn == 0, "a kept connection was closed over its request");
-            let Some(answer) = answer else { break };
-            assert!(matches!(answer.status(), 200 | 503), "{}", answer.first_line);
+            let response = wire.read();
+            assert!(
+                response.is_some() || turn == 0,
+                "a keep-alive connection was closed with a request in flight"
+            );
+            let Some(response) = response else { break };
+            assert!(matches!(response.status(), 200 | 503), "{}", response.first_line);
             turn += 1;
-            if turn == 3 || answer.header("connection") == "close" {
+            if turn == 3 || response.header("connection") == "close" {
                 break;
             }
         }
     }
-    assert!(crowd.join().unwrap() > 0);
+    assert!(flood.join().unwrap() > 0);
 }
 
 #[test]
-fn a_flood_in_the_moment_of_a_drain_holds_up_neither_the_drain_nor_good_clients() {
+fn a_request_flood_at_the_start_of_a_drain_delays_neither_the_drain_nor_valid_clients() {
     let peer = Peer::new(|_| Do::Late(Duration::from_millis(50)));
     let mut sidecar = Sidecar::start(&config(&[&peer]));
     let many: String = (0..300).map(|n| request("quote", &format!("f{n}"), "9000m")).collect();
-    let mut good: Vec<Wire> = (0..5).map(|_| Wire::connect(sidecar.address)).collect();
-    let mut bad: Vec<Wire> = (0..40).map(|_| Wire::connect(sidecar.address)).collect();
-    for (n, wire) in good.iter_mut().enumerate() {
+    let mut valid: Vec<Wire> = (0..5).map(|_| Wire::connect(sidecar.address)).collect();
+    let mut invalid: Vec<Wire> = (0..40).map(|_| Wire::connect(sidecar.address)).collect();
+    for (n, wire) in valid.iter_mut().enumerate() {
         wire.write(&request("book", &format!("g{n}"), "9000m"));
     }
     sidecar.signal("-TERM");
-    for (n, wire) in bad.iter_mut().enumerate() {
+    for (n, wire) in invalid.iter_mut().enumerate() {
         match n % 4 {
             0 => wire.write(&many),
             1 => wire.write(&format!("GET /quote/x HTTP/1.1\r\nX-Long: {}", "y".repeat(200_000))),
@@ -96,23 +102,23 @@
             _ => {}
         }
     }
-    // Some have gone again.
-    bad.truncate(30);
-    for wire in &mut good {
-        assert_eq!(wire.read().expect("an answer").status(), 200);
+    // Some of them disconnect.
+    invalid.truncate(30);
+    for wire in &mut valid {
+        assert_eq!(wire.read().expect("a response").status(), 200);
     }
     let start = Instant::now();
-    for wire in &mut bad {
+    for wire in &mut invalid {
         let (_, end) = wire.rest(Duration::from_secs(6));
-        assert_ne!(end, End::Open, "owed an error or a close");
+        assert_ne!(end, End::Open, "neither an error nor a close");
     }
     assert!(sidecar.ended().success());
     assert!(start.elapsed() < Duration::from_secs(10));
 }
 
-/// How discovery is while thirty processes are killed and start again.
+/// State of discovery while thirty processes are killed and restarted.
 #[derive(Clone, Copy, Debug)]
-enum State {
+enum DiscoveryState {
     Silent,
     Refusing,
     DownAtFirst,
@@ -120,14 +126,14 @@
 
 #[test]
 fn nine_in_ten_of_thirty_restarted_processes_are_ready_within_ten_seconds() {
-    for state in [State::Silent, State::Refusing, State::DownAtFirst] {
+    for state in [DiscoveryState::Silent, DiscoveryState::Refusing, DiscoveryState::DownAtFirst] {
         let peer = Peer::serving("ok");
         let down = nowhere();
-        // It takes calls and answers none; it refuses them; it comes up later.
+        // Accepts calls without responding, refuses connections, or starts later.
         let silent = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = match state {
-            State::Silent => silent.local_addr().unwrap(),
-            State::Refusing | State::DownAtFirst => down,
+            DiscoveryState::Silent => silent.local_addr().unwrap(),
+            DiscoveryState::Refusing | DiscoveryState::DownAtFirst => down,
         };
         let start = |n: usize| {
             let mut config = config(&[&peer]);
@@ -148,14 +154,14 @@
                 .iter()
                 .map(|config| scope.spawn(|| (Sidecar::start(config), at.elapsed())))
                 .collect();
-            if let State::DownAtFirst = state {
+            if let DiscoveryState::DownAtFirst = state {
                 std::thread::sleep(Duration::from_millis(500));
                 let _ = Discovery::at(address, list(8, false, &[]));
             }
             again.into_iter().map(|one| one.join().unwrap()).collect::<Vec<_>>()
         });
-        let soon = up.iter().filter(|(_, took)| *took < Duration::from_secs(10)).count();
-        assert!(soon >= 27, "{state:?}: {soon} of 30 within 10 s");
+        let in_time = up.iter().filter(|(_, took)| *took < Duration::from_secs(10)).count();
+        assert!(in_time >= 27, "{state:?}: {in_time} of 30 within 10 s");
         assert!(up.iter().all(|(sidecar, _)| sidecar.ask("quote", "r").status() == 200));
     }
 }
--- a/crates/curlewhub/tests/crossings/settings.rs
+++ b/crates/curlewhub/tests/races/settings.rs
@@ -1,11 +1,13 @@
-//! Settings of one customer never show at another: the program on settings of each kind, and on wrong ones.
+//! Settings of one customer never affect another: runs the program with settings of each kind, and with
+//! invalid ones.
 
 use super::support::script::*;
 use super::support::*;
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Settings as the platform gives them for the deployments in deploy/sites/, with these classes.
+/// Settings in the form in which the platform supplies them for the deployments in deploy/sites/, with
+/// these classes, tenants and zones.
 fn settings(classes: Value, tenants: Value, zones: Value, change: impl FnOnce(&mut Value)) -> Value {
     let mut config = operated(&[]);
     let settings = &mut config["settings"];
@@ -21,7 +23,7 @@
            "deadlineMs": deadline, "worth": 3.0, "lateValue": 0.0})
 }
 
-/// Two halls, a class unsafe to repeat, nothing optional allowed: as deploy/sites/ticket-desk-quito.
+/// Two zones, a class unsafe to retry, and no optional features: as in deploy/sites/ticket-desk-quito.
 fn ticket_desk() -> Value {
     let classes = json!([
         class("seat-search", "safe", 2400.0, 0.0),
@@ -44,7 +46,8 @@
     })
 }
 
-/// One zone, four tenants, a short window and grace, no time to come back: as deploy/sites/tide-board-busan.
+/// One zone, four tenants, a short retry window and drain grace period, and no `Retry-After`: as in
+/// deploy/sites/tide-board-busan.
 fn tide_board() -> Value {
     let classes = json!([
         class("level-read", "safe", 2000.0, 0.0),
@@ -60,7 +63,7 @@
     })
 }
 
-fn ask(class: &str, tenant: &str, id: &str, keyed: bool, body: bool) -> String {
+fn request_text(class: &str, tenant: &str, id: &str, keyed: bool, body: bool) -> String {
     let method = if body { "POST" } else { "GET" };
     let key = if keyed { "Idempotency-Key: k1\r\n" } else { "" };
     let (length, text) = if body { ("Content-Length: 4\r\n", "body") } else { ("", "") };
@@ -70,22 +73,22 @@
     )
 }
 
-fn answer_to(sidecar: &Sidecar, text: &str) -> Message {
+fn response_to(sidecar: &Sidecar, text: &str) -> Message {
     let mut wire = Wire::connect(sidecar.address);
     wire.write(text);
-    wire.read().expect("an answer")
+    wire.read().expect("a response")
 }
 
-fn known(config: &mut Value, addresses: &[std::net::SocketAddr]) {
+fn set_known_endpoints(config: &mut Value, addresses: &[std::net::SocketAddr]) {
     let entry = |(n, at): (usize, &std::net::SocketAddr)| target(&format!("s-{n}"), *at, "up");
     let targets: Vec<Value> = addresses.iter().enumerate().map(entry).collect();
     config["known"] = list(7, true, &targets);
 }
 
 #[test]
-fn each_deployment_knows_its_own_classes_tenants_and_effects_and_no_others() {
+fn each_deployment_accepts_only_its_own_classes_tenants_and_semantics() {
     let peer = Peer::serving("ok");
-    let ours = [
+    let deployments = [
         (
             ticket_desk(),
             "teatro-sol",
@@ -93,109 +96,116 @@
         ),
         (tide_board(), "fishers-union", vec![("level-read", false, false), ("gauge-write", true, true)]),
     ];
-    let theirs = ["proof-view", "job-submit", "schedule-read", "dose-record", "quote", "book", "pay"];
-    for (mut config, tenant, classes) in ours {
-        known(&mut config, &[peer.address]);
+    let other_classes =
+        ["proof-view", "job-submit", "schedule-read", "dose-record", "quote", "book", "pay"];
+    for (mut config, tenant, classes) in deployments {
+        set_known_endpoints(&mut config, &[peer.address]);
         let sidecar = Sidecar::start(&config);
         for (class, keyed, body) in &classes {
             assert_eq!(
-                answer_to(&sidecar, &ask(class, tenant, "r1", *keyed, *body)).status(),
+                response_to(&sidecar, &request_text(class, tenant, "r1", *keyed, *body)).status(),
                 200,
                 "{class}"
             );
-            // The wrong way of asking is refused by its effect, whatever its name.
+            // A request that does not fit the class's semantics is rejected, whatever the class is called.
             let wrong = match body {
-                true => ask(class, tenant, "r2", !keyed, true),
-                false => ask(class, tenant, "r2", false, true),
+                true => request_text(class, tenant, "r2", !keyed, true),
+                false => request_text(class, tenant, "r2", false, true),
             };
-            let wrong = answer_to(&sidecar, &wrong).status();
+            let wrong = response_to(&sidecar, &wrong).status();
             assert!((400..500).contains(&wrong), "{class}: {wrong}");
         }
-        for class in theirs {
+        for class in other_classes {
             assert_eq!(
-                answer_to(&sidecar, &ask(class, tenant, "r3", false, false)).status(),
+                response_to(&sidecar, &request_text(class, tenant, "r3", false, false)).status(),
                 404,
                 "{class}"
             );
         }
-        let stranger = answer_to(&sidecar, &ask(classes[0].0, "delta-press", "r4", false, false));
+        let stranger =
+            response_to(&sidecar, &request_text(classes[0].0, "delta-press", "r4", false, false));
         assert_eq!(stranger.status(), 400);
         let figures = sidecar.call("INFO");
         assert!(classes.iter().all(|(class, ..)| figures.contains(&format!("router.success.{class}:1|c"))));
-        assert!(theirs.iter().all(|class| !figures.contains(&format!(".{class}:"))), "{figures}");
+        assert!(other_classes.iter().all(|class| !figures.contains(&format!(".{class}:"))), "{figures}");
     }
 }
 
 #[test]
-fn an_unsafe_request_goes_again_only_where_it_surely_never_ran() {
-    // How the first endpoint ends the attempt, and whether it may go on to another.
-    type Ends = (&'static str, fn(Wire), bool);
-    let cases: [Ends; 4] = [
-        ("written whole, then reset", Wire::reset, false),
+fn an_unsafe_request_is_retried_only_if_it_certainly_never_ran() {
+    // What the first endpoint does, and whether the request may be retried at another.
+    type Case = (&'static str, fn(Wire), bool);
+    let cases: [Case; 4] = [
+        ("written completely, then reset", Wire::reset, false),
         (
-            "handed back unseen",
+            "returned unprocessed",
             |mut wire| wire.write(&answer("503 No", "X-Not-Processed: 1\r\n", "")),
             true,
         ),
         ("an error", |mut wire| wire.write(&answer("500 No", "", "")), false),
         ("a 503 that does not say so", |mut wire| wire.write(&answer("503 No", "", "")), false),
     ];
-    for (what, end, again) in cases {
-        let (stage, mut config) = (Stage::new(), ticket_desk());
-        // Alone, so that it is the first; the other one is told of while the attempt is out.
+    for (what, end, retried) in cases {
+        let (listener, mut config) = (Stage::new(), ticket_desk());
+        // The only endpoint at first, so that it gets the request; the other is announced during the
+        // attempt.
         let (discovery, other) = (Stage::new(), Peer::serving("ok"));
-        known(&mut config, &[stage.address]);
+        set_known_endpoints(&mut config, &[listener.address]);
         config["discovery"] = json!(discovery.address.to_string());
         let sidecar = Sidecar::start(&config);
         let (mut watch, _) = discovery.request();
         watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         let mut client = Wire::connect(sidecar.address);
-        client.write(&ask("card-charge", "teatro-sol", "r1", false, true));
-        // It is out at the first one before there is another.
-        let (wire, _) = stage.request();
+        client.write(&request_text("card-charge", "teatro-sol", "r1", false, true));
+        // The attempt is at the first endpoint before there is another.
+        let (wire, _) = listener.request();
         watch.chunk(&format!("{}\n", list(8, false, &[target("s-1", other.address, "up")])));
-        wait_for("the other one", || sidecar.figure("hosts_listed") == 2);
+        wait_for("the other endpoint", || sidecar.figure("hosts_listed") == 2);
         end(wire);
-        let status = client.read().expect("an answer").status();
-        assert_eq!(status == 200, again, "{what}: {status}");
-        assert!(again || !matches!(status, 429 | 503), "{what}: a refusal says that it never ran");
-        assert_eq!(other.count(), usize::from(again), "{what}");
+        let status = client.read().expect("a response").status();
+        assert_eq!(status == 200, retried, "{what}: {status}");
+        assert!(
+            retried || !matches!(status, 429 | 503),
+            "{what}: this status would claim that the request never ran"
+        );
+        assert_eq!(other.count(), usize::from(retried), "{what}");
     }
 }
 
 #[test]
-fn no_more_attempts_are_made_than_settings_allow_and_no_two_at_once_where_they_forbid_copies() {
-    for most in [1, 2, 4] {
+fn attempts_stay_within_max_attempts_without_second_copies() {
+    for max_attempts in [1, 2, 4] {
         let mut config = tide_board();
-        config["settings"]["limits"]["maxAttempts"] = json!(most);
+        config["settings"]["limits"]["maxAttempts"] = json!(max_attempts);
         config["settings"]["limits"]["secondCopies"] = json!(false);
         let peers: Vec<Peer> = (0..6).map(|_| Peer::new(|_| Do::Write(answer("500 No", "", "")))).collect();
         let addresses: Vec<_> = peers.iter().map(|peer| peer.address).collect();
-        known(&mut config, &addresses);
+        set_known_endpoints(&mut config, &addresses);
         let sidecar = Sidecar::start(&config);
-        let status = answer_to(&sidecar, &ask("level-read", "ferry-line", "r1", false, false)).status();
+        let status =
+            response_to(&sidecar, &request_text("level-read", "ferry-line", "r1", false, false)).status();
         assert_ne!(status, 200);
         let made: usize = peers.iter().map(Peer::count).sum();
-        assert!((1..=most).contains(&made), "{made} of {most}");
+        assert!((1..=max_attempts).contains(&made), "{made} of {max_attempts}");
     }
 }
 
 #[test]
-fn a_time_to_come_back_is_said_only_where_settings_allow_it() {
-    for (mut config, class, tenant, says) in [
+fn retry_after_is_sent_only_if_settings_allow_it() {
+    for (mut config, class, tenant, expected) in [
         (ticket_desk(), "seat-search", "teatro-sol", true),
         (tide_board(), "level-read", "ferry-line", false),
     ] {
-        known(&mut config, &[]);
+        set_known_endpoints(&mut config, &[]);
         let sidecar = Sidecar::start(&config);
-        let refused = answer_to(&sidecar, &ask(class, tenant, "r1", false, false));
+        let refused = response_to(&sidecar, &request_text(class, tenant, "r1", false, false));
         assert_eq!(refused.status(), 503);
-        assert_eq!(!refused.header("retry-after").is_empty(), says, "{class}");
+        assert_eq!(!refused.header("retry-after").is_empty(), expected, "{class}");
     }
 }
 
 #[test]
-fn a_wrong_setting_is_one_clear_error_that_names_its_field() {
+fn an_invalid_setting_is_reported_as_one_error_that_names_its_field() {
     let wrong: [(&str, &[&str], Value); 14] = [
         ("classes", &["classes"], json!([])),
         ("classes", &["classes"], json!("all")),
@@ -212,7 +222,7 @@
         ("rules.cold_share", &["rules", "coldShare"], json!(-0.5)),
         ("rules.fall_multiple", &["rules", "fallMultiple"], json!(-1.0)),
     ];
-    let mut unclear = Vec::new();
+    let mut unclear_errors = Vec::new();
     for (field, path, value) in wrong {
         let mut config = ticket_desk();
         let mut at = &mut config["settings"];
@@ -226,10 +236,10 @@
         let (status, said) = refuses_soon(&config.to_string());
         let clear = status.code() == Some(2) && said.contains(field) && !said.contains("panicked");
         if !clear || said.lines().filter(|line| line.contains(field)).count() != 1 {
-            unclear.push(format!("{field} = {value}: {status}, {said}"));
+            unclear_errors.push(format!("{field} = {value}: {status}, {said}"));
         }
     }
-    assert!(unclear.is_empty(), "{unclear:#?}");
+    assert!(unclear_errors.is_empty(), "{unclear_errors:#?}");
     let whole = ticket_desk().to_string();
     for cut in [0, 1, whole.len() / 2, whole.len() - 1] {
         let (status, said) = refuses_soon(&whole[..cut]);
@@ -238,14 +248,15 @@
 }
 
 #[test]
-fn connections_that_fall_silent_are_given_up_in_the_times_of_these_settings() {
-    let (door, mut config) = (SlowDoor::shut(), ticket_desk());
-    known(&mut config, &[door.address]);
+fn a_connect_attempt_fails_after_the_configured_timeout() {
+    let (slow_endpoint, mut config) = (SlowDoor::shut(), ticket_desk());
+    set_known_endpoints(&mut config, &[slow_endpoint.address]);
     config["settings"]["limits"]["maxAttempts"] = json!(1);
     let sidecar = Sidecar::start(&config);
     let mut client = Wire::connect(sidecar.address);
-    client.write(&ask("card-charge", "teatro-sol", "r1", false, true));
-    // 300 ms to connect, by its settings: refused, as it never ran, and well before its time is up.
-    let answer = client.read_within(Duration::from_millis(1200)).expect("an answer before 1,500 ms");
-    assert_eq!(answer.status(), 503);
+    client.write(&request_text("card-charge", "teatro-sol", "r1", false, true));
+    // The settings allow 300 ms to connect: the request is rejected, as it never ran, well before its
+    // timeout.
+    let response = client.read_within(Duration::from_millis(1200)).expect("a response before 1,500 ms");
+    assert_eq!(response.status(), 503);
 }
--- a/crates/curlewhub/tests/reset.rs
+++ b/crates/curlewhub/tests/reset.rs
@@ -1,4 +1,4 @@
-//! The built sidecar where connections are closed under a request.
+//! Runs the built sidecar with an endpoint that closes connections while a request is being sent.
 
 #[path = "support/mod.rs"]
 mod support;
@@ -10,11 +10,12 @@
 use std::thread;
 use support::*;
 
-/// Of each request's id: how often it was cut off before its last byte, and how often it came whole.
-type Seen = Arc<Mutex<HashMap<String, (usize, usize)>>>;
+/// For each request ID: how often it was cut off before its last byte, and how often it arrived complete.
+type ArrivalCounts = Arc<Mutex<HashMap<String, (usize, usize)>>>;
 
-/// Closes the connection under a request of which it holds all but the end, once for each id.
-fn cut(stream: TcpStream, seen: &Seen) -> std::io::Result<()> {
+/// Serves a connection, but closes it once for each request ID while the end of the request is still
+/// missing.
+fn serve_after_one_cut(stream: TcpStream, seen: &ArrivalCounts) -> std::io::Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
     loop {
         let (mut id, mut length) = (String::new(), 0);
@@ -33,37 +34,40 @@
             }
         }
         let mut body = vec![0; length];
-        let come = reader.read(&mut body)?;
+        let received = reader.read(&mut body)?;
         let first = seen.lock().unwrap().get(&id).is_none();
-        if come < length && first {
+        if received < length && first {
             seen.lock().unwrap().entry(id).or_default().0 += 1;
             return Ok(());
         }
-        reader.read_exact(&mut body[come..])?;
+        reader.read_exact(&mut body[received..])?;
         seen.lock().unwrap().entry(id).or_default().1 += 1;
         (&stream).write_all(answer("200 OK", "", "ok").as_bytes())?;
     }
 }
 
 #[test]
-fn what_is_cut_off_before_its_last_byte_goes_again_though_it_may_not_be_repeated() {
+fn a_request_cut_off_before_its_last_byte_is_retried_even_if_unsafe() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (address, seen) = (listener.local_addr().unwrap(), Seen::default());
+    let (address, seen) = (listener.local_addr().unwrap(), ArrivalCounts::default());
     let peer = seen.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let seen = peer.clone();
-            thread::spawn(move || cut(stream, &seen));
+            thread::spawn(move || serve_after_one_cut(stream, &seen));
         }
     });
     let sidecar = Sidecar::start(&config_at(&[address]));
     let mut number = 0;
-    // Where the machine is slow the last byte may already be on its way as the connection closes.
-    wait_for("a request cut off and served all the same", || {
+    // On a slow machine the last byte may already be in flight when the connection closes.
+    wait_for("a request that is cut off and then served", || {
         number += 1;
         let id = format!("r{number}");
         let served = sidecar.ask("book", &id).status() == 200;
         served && seen.lock().unwrap()[&id] == (1, 1)
     });
-    assert!(seen.lock().unwrap().values().all(|(_, whole)| *whole <= 1), "nothing came whole twice");
+    assert!(
+        seen.lock().unwrap().values().all(|(_, whole)| *whole <= 1),
+        "a request arrived complete twice"
+    );
 }
--- a/crates/curlewhub/tests/shutdown.rs
+++ b/crates/curlewhub/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! The built sidecar between SIGTERM and SIGKILL, which comes at the earliest that the protocol page allows: the longest
-//! deadline, counted as 3 s at most, and 0.7 s more. Whatever was read by then has its answer.
+//! Runs the built sidecar between SIGTERM and SIGKILL, which comes as early as the protocol page allows:
+//! after the longest deadline, capped at 3 s, plus 0.7 s. Every request read by then has its response.
 
 #[path = "support/mod.rs"]
 mod support;
@@ -12,27 +12,27 @@
 use support::script::*;
 use support::*;
 
-/// The protocol page's: SIGKILL comes no sooner than this beyond the longest deadline.
+/// Minimum time from the longest deadline to SIGKILL, set by the protocol page.
 const KILL_SLACK: Duration = Duration::from_millis(700);
-/// A request written on a resting connection within this of its end has crossed it.
-const CROSSING: Duration = Duration::from_millis(20);
-/// How long before the kill some clients finish what they have begun to write.
-const LAST_MOMENT: Duration = Duration::from_millis(220);
+/// A request written on an idle connection within this time of its close has crossed the close on the wire.
+const CROSSING_WINDOW: Duration = Duration::from_millis(20);
+/// How long before SIGKILL some clients finish writing their requests.
+const FINAL_WINDOW: Duration = Duration::from_millis(220);
 
-/// Clients that rest and then speak, each at its own time between SIGTERM and SIGKILL.
-const RESTING: usize = 12;
+/// Idle clients that send one request each, at different times between SIGTERM and SIGKILL.
+const IDLE_CLIENTS: usize = 12;
 
-/// One shutdown.
+/// One shutdown under load.
 #[derive(Clone, Copy, Debug)]
-struct Drill {
+struct Scenario {
     deadline: Duration,
-    /// Another process of this sidecar is there and accepts in its stead.
-    succeeded: bool,
-    /// All endpoints hang through all of it, and not only every other one.
-    all_hang: bool,
+    /// A successor process is running and accepts new connections.
+    has_successor: bool,
+    /// All endpoints hang throughout, not just one of the two.
+    all_endpoints_hang: bool,
 }
 
-impl Drill {
+impl Scenario {
     fn config(&self, peers: &[&Peer]) -> (Value, Discovery) {
         let mut config = operated(peers);
         let entry = |(n, peer): (usize, &&Peer)| target(&format!("s-{n}"), peer.address, "up");
@@ -52,43 +52,43 @@
         format!("{}m", self.deadline.as_millis())
     }
 
-    fn kill(&self) -> Duration {
+    fn time_to_kill(&self) -> Duration {
         self.deadline.min(Duration::from_secs(3)) + KILL_SLACK
     }
 
-    /// Plays it; what was lost, one line each.
-    fn play(self) -> Vec<String> {
+    /// Runs the shutdown and returns one line for each lost request.
+    fn run(self) -> Vec<String> {
         let hanging = Peer::new(|_| Do::Silence);
-        let other = if self.all_hang { Peer::new(|_| Do::Silence) } else { Peer::serving("ok") };
+        let other = if self.all_endpoints_hang { Peer::new(|_| Do::Silence) } else { Peer::serving("ok") };
         let (config, _discovery) = self.config(&[&hanging, &other]);
         let mut old = Sidecar::start(&config);
-        let next = self.succeeded.then(|| {
+        let next = self.has_successor.then(|| {
             let next = old.successor(&config);
-            wait_for("the successor's yes", || next.call("PING") == "YES\n");
+            wait_for("the successor to be ready", || next.call("PING") == "YES\n");
             old.says("a successor has come");
             next
         });
-        let resting = self.rested(old.address);
+        let idle = self.idle_clients(old.address);
         let busy: Vec<Wire> = (0..8).map(|_| Wire::connect(old.address)).collect();
         let slow: Vec<Wire> = (0..4).map(|_| Wire::connect(old.address)).collect();
         let started = Instant::now();
-        // All that is open is taken by the old process before it is told.
+        // The old process accepts all open connections before it gets the signal.
         wait_for("the clients to be accepted", || started.elapsed() > Duration::from_millis(100));
         old.signal("-TERM");
-        let (term, kill) = (Instant::now(), self.kill());
+        let (term, kill) = (Instant::now(), self.time_to_kill());
         let lost = thread::scope(|scope| {
             let mut clients = Vec::new();
             for (n, wire) in busy.into_iter().enumerate() {
-                clients.push(scope.spawn(move || self.sends_on(wire, n, term)));
+                clients.push(scope.spawn(move || self.send_continuously(wire, n, term)));
             }
-            for (n, wire) in resting.into_iter().enumerate() {
-                clients.push(scope.spawn(move || self.speaks_late(wire, n, term)));
+            for (n, wire) in idle.into_iter().enumerate() {
+                clients.push(scope.spawn(move || self.send_late(wire, n, term)));
             }
             for (n, wire) in slow.into_iter().enumerate() {
-                clients.push(scope.spawn(move || self.ends_its_body_late(wire, n, term)));
+                clients.push(scope.spawn(move || self.finish_body_late(wire, n, term)));
             }
             thread::sleep((term + kill).saturating_duration_since(Instant::now()));
-            let _ = old.child.kill(); // fails where it has ended by itself
+            let _ = old.child.kill(); // fails if it has already exited
             let _ = old.child.wait();
             clients.into_iter().flat_map(|client| client.join().unwrap()).collect()
         });
@@ -96,37 +96,37 @@
         lost
     }
 
-    /// Clients whose first requests have been answered, in whatever way, and that keep their connections.
-    fn rested(&self, address: SocketAddr) -> Vec<Wire> {
-        let mut all: Vec<Wire> = (0..RESTING).map(|_| Wire::connect(address)).collect();
+    /// Connects clients whose first requests get any response and whose connections stay open.
+    fn idle_clients(&self, address: SocketAddr) -> Vec<Wire> {
+        let mut all: Vec<Wire> = (0..IDLE_CLIENTS).map(|_| Wire::connect(address)).collect();
         for (n, wire) in all.iter_mut().enumerate() {
             wire.write(&request("quote", &format!("rest{n}"), &self.timeout()));
         }
         for wire in &mut all {
-            assert_eq!(wire.read().expect("an answer").header("connection"), "");
+            assert_eq!(wire.read().expect("a response").header("connection"), "");
         }
         all
     }
 
-    /// One request; says what is lost of it, and whether the connection stays.
-    fn one(&self, wire: &mut Wire, id: &str) -> Result<bool, String> {
+    /// Sends one request. Returns whether the connection stays open, or an error if the request was lost.
+    fn send_one(&self, wire: &mut Wire, id: &str) -> Result<bool, String> {
         let at = Instant::now();
         if !wire.try_write(&request("quote", id, &self.timeout())) {
             return Ok(false);
         }
         match wire.read() {
-            Some(answer) => Ok(answer.header("connection") != "close"),
-            None if at.elapsed() < CROSSING => Ok(false),
-            None => Err(format!("{id}: no answer after {:?}", at.elapsed())),
+            Some(response) => Ok(response.header("connection") != "close"),
+            None if at.elapsed() < CROSSING_WINDOW => Ok(false),
+            None => Err(format!("{id}: no response after {:?}", at.elapsed())),
         }
     }
 
-    /// Sends one request after another while its connection stays open.
-    fn sends_on(&self, mut wire: Wire, n: usize, term: Instant) -> Vec<String> {
+    /// Sends one request after another while the connection stays open.
+    fn send_continuously(&self, mut wire: Wire, n: usize, term: Instant) -> Vec<String> {
         let mut number = 0;
-        while term.elapsed() < self.kill() && !wire.has_ended() {
+        while term.elapsed() < self.time_to_kill() && !wire.has_ended() {
             number += 1;
-            match self.one(&mut wire, &format!("busy{n}-{number}")) {
+            match self.send_one(&mut wire, &format!("busy{n}-{number}")) {
                 Ok(true) => {}
                 Ok(false) => return Vec::new(),
                 Err(lost) => return vec![format!("{lost}, {:?} after SIGTERM", term.elapsed())],
@@ -135,22 +135,22 @@
         Vec::new()
     }
 
-    /// Rests, and sends one request at a time of its own between SIGTERM and SIGKILL.
-    fn speaks_late(&self, mut wire: Wire, n: usize, term: Instant) -> Vec<String> {
-        let at = self.kill().mul_f64((n + 1) as f64 / (RESTING + 1) as f64);
+    /// Stays idle and sends one request, at a time between SIGTERM and SIGKILL that depends on `n`.
+    fn send_late(&self, mut wire: Wire, n: usize, term: Instant) -> Vec<String> {
+        let at = self.time_to_kill().mul_f64((n + 1) as f64 / (IDLE_CLIENTS + 1) as f64);
         thread::sleep((term + at).saturating_duration_since(Instant::now()));
         if wire.has_ended() {
             return Vec::new();
         }
-        let lost = self.one(&mut wire, &format!("late{n}")).err();
+        let lost = self.send_one(&mut wire, &format!("late{n}")).err();
         lost.map(|lost| format!("{lost}, sent {at:?} after SIGTERM")).into_iter().collect()
     }
 
-    /// Writes a body as slowly as a good client may, and its last byte when there is hardly any time left.
-    fn ends_its_body_late(&self, mut wire: Wire, n: usize, term: Instant) -> Vec<String> {
+    /// Writes a body as slowly as a compliant client may, and its last byte shortly before SIGKILL.
+    fn finish_body_late(&self, mut wire: Wire, n: usize, term: Instant) -> Vec<String> {
         const PIECE: usize = 4_000;
         const PAUSE: Duration = Duration::from_millis(50);
-        let end = self.kill() - LAST_MOMENT + Duration::from_millis(20 * n as u64);
+        let end = self.time_to_kill() - FINAL_WINDOW + Duration::from_millis(20 * n as u64);
         let id = format!("slow{n}");
         let pieces = (end.as_millis() / PAUSE.as_millis()) as usize;
         let head = request("book", &id, &self.timeout())
@@ -170,67 +170,71 @@
         if answered || !whole {
             Vec::new()
         } else {
-            vec![format!("{id}: whole {end:?} after SIGTERM, no answer")]
+            vec![format!("{id}: complete {end:?} after SIGTERM, no response")]
         }
     }
 }
 
-fn drills(deadline_ms: u64) {
+fn run_scenarios(deadline_ms: u64) {
     let deadline = Duration::from_millis(deadline_ms);
     let lost: Vec<String> = thread::scope(|scope| {
         let mut all = Vec::new();
-        for (succeeded, all_hang) in [(false, false), (false, true), (true, false), (true, true)] {
-            let drill = Drill { deadline, succeeded, all_hang };
-            let play = move || drill.play().into_iter().map(|lost| format!("{drill:?}: {lost}")).collect();
-            all.push(scope.spawn::<_, Vec<String>>(play));
+        for (has_successor, all_endpoints_hang) in
+            [(false, false), (false, true), (true, false), (true, true)]
+        {
+            let scenario = Scenario { deadline, has_successor, all_endpoints_hang };
+            let run =
+                move || scenario.run().into_iter().map(|lost| format!("{scenario:?}: {lost}")).collect();
+            all.push(scope.spawn::<_, Vec<String>>(run));
         }
-        all.into_iter().flat_map(|drill| drill.join().unwrap()).collect()
+        all.into_iter().flat_map(|scenario| scenario.join().unwrap()).collect()
     });
     assert!(lost.is_empty(), "{} lost:\n{}", lost.len(), lost.join("\n"));
 }
 
 #[test]
-fn nothing_is_left_unanswered_with_deadlines_of_0_3_seconds() {
-    drills(300);
+fn each_request_is_answered_before_sigkill_with_deadlines_of_0_3_seconds() {
+    run_scenarios(300);
 }
 
 #[test]
-fn nothing_is_left_unanswered_with_deadlines_of_0_5_seconds() {
-    drills(500);
+fn each_request_is_answered_before_sigkill_with_deadlines_of_0_5_seconds() {
+    run_scenarios(500);
 }
 
 #[test]
-fn nothing_is_left_unanswered_with_deadlines_of_1_second() {
-    drills(1000);
+fn each_request_is_answered_before_sigkill_with_deadlines_of_1_second() {
+    run_scenarios(1000);
 }
 
 #[test]
-fn nothing_is_left_unanswered_with_deadlines_of_3_seconds() {
-    drills(3000);
+fn each_request_is_answered_before_sigkill_with_deadlines_of_3_seconds() {
+    run_scenarios(3000);
 }
 
 #[test]
-fn an_answer_without_a_length_that_the_end_cuts_off_is_reset_and_not_ended() {
-    let stage = Stage::new();
-    let drill = Drill { deadline: Duration::from_millis(500), succeeded: false, all_hang: true };
+fn a_response_without_a_length_that_shutdown_truncates_ends_with_a_reset() {
+    let listener = Stage::new();
+    let scenario =
+        Scenario { deadline: Duration::from_millis(500), has_successor: false, all_endpoints_hang: true };
     let peer = Peer::serving("unused");
-    let (mut config, _) = drill.config(&[&peer]);
-    config["known"] = list(7, true, &[target("s-0", stage.address, "up")]);
+    let (mut config, _) = scenario.config(&[&peer]);
+    config["known"] = list(7, true, &[target("s-0", listener.address, "up")]);
     config["discovery"] = json!(nowhere().to_string());
     let mut sidecar = Sidecar::start(&config);
     let mut client = Wire::connect(sidecar.address);
-    client.write(&request("quote", "r1", &drill.timeout()).replace("HTTP/1.1", "HTTP/1.0"));
-    let (mut endpoint, _) = stage.request();
+    client.write(&request("quote", "r1", &scenario.timeout()).replace("HTTP/1.1", "HTTP/1.0"));
+    let (mut endpoint, _) = listener.request();
     endpoint.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     endpoint.chunk(&"y".repeat(100_000));
     sidecar.signal("-TERM");
-    // It goes on until the sidecar is gone.
+    // The endpoint keeps writing until the sidecar exits.
     let reader = thread::spawn(move || client.rest(PATIENCE));
     while endpoint.try_write("3e8\r\n") && endpoint.try_write(&("y".repeat(1000) + "\r\n")) {
         thread::sleep(Duration::from_millis(20));
     }
     assert!(sidecar.ended().success());
     let (bytes, end) = reader.join().unwrap();
-    assert!(bytes.len() > 100_000, "it flowed: {} bytes", bytes.len());
-    assert_eq!(end, End::Reset, "a plain end would pass for a whole answer");
+    assert!(bytes.len() > 100_000, "streamed only {} bytes", bytes.len());
+    assert_eq!(end, End::Reset, "an orderly close would look like a complete response");
 }
--- a/crates/curlewhub/tests/spares.rs
+++ b/crates/curlewhub/tests/spares.rs
@@ -1,4 +1,5 @@
-//! The built sidecar and requests that find its connections resting after an answer.
+//! Runs the built sidecar with requests that find its connections in the reuse delay that follows a
+//! response.
 
 #[path = "support/mod.rs"]
 mod support;
@@ -12,33 +13,34 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// What a connection rests for, less what the two processes' looks at the clock are apart.
-const REST_SEEN: Duration = Duration::from_millis(4);
-/// Whole rests that the first further connection is worth.
-const RESTS: usize = 10;
+/// The reuse delay of a connection, less the difference between the clock readings of the two processes.
+const OBSERVED_REUSE_DELAY: Duration = Duration::from_millis(4);
+/// Full reuse delays that requests must have waited for before the first spare connection is opened.
+const DELAYS_PER_SPARE: usize = 10;
 
-/// An endpoint that notes by how much each request follows the answer before it on the same connection.
+/// An endpoint that records the time from each response to the next request on the same connection.
 #[derive(Clone)]
 struct Endpoint {
     address: SocketAddr,
     connections: Arc<AtomicUsize>,
-    ended: Arc<AtomicUsize>,
-    pauses: Arc<Mutex<Vec<Duration>>>,
+    closed: Arc<AtomicUsize>,
+    reuse_intervals: Arc<Mutex<Vec<Duration>>>,
 }
 
 impl Endpoint {
     fn start() -> Endpoint {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-        let (connections, ended, pauses) = Default::default();
-        let endpoint = Endpoint { address: listener.local_addr().unwrap(), connections, ended, pauses };
-        let of_thread = endpoint.clone();
+        let (connections, closed, reuse_intervals) = Default::default();
+        let endpoint =
+            Endpoint { address: listener.local_addr().unwrap(), connections, closed, reuse_intervals };
+        let accepting = endpoint.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                of_thread.connections.fetch_add(1, Ordering::SeqCst);
-                let endpoint = of_thread.clone();
+                accepting.connections.fetch_add(1, Ordering::SeqCst);
+                let endpoint = accepting.clone();
                 thread::spawn(move || {
                     endpoint.serve(stream);
-                    endpoint.ended.fetch_add(1, Ordering::SeqCst);
+                    endpoint.closed.fetch_add(1, Ordering::SeqCst);
                 });
             }
         });
@@ -50,7 +52,7 @@
         let mut writer = stream;
         let mut answered: Option<Instant> = None;
         while Message::read(&mut reader).is_some() {
-            self.pauses.lock().unwrap().extend(answered.map(|at| at.elapsed()));
+            self.reuse_intervals.lock().unwrap().extend(answered.map(|at| at.elapsed()));
             answered = Some(Instant::now());
             if writer.write_all(answer("200 OK", "", "ok").as_bytes()).is_err() {
                 return;
@@ -62,65 +64,68 @@
         self.connections.load(Ordering::SeqCst)
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     fn open(&self) -> usize {
-        self.connections() - self.ended.load(Ordering::SeqCst)
+        self.connections() - self.closed.load(Ordering::SeqCst)
     }
 }
 
 #[test]
-fn requests_that_keep_finding_connections_at_rest_get_more_of_them_and_each_goes_on_resting() {
+fn repeated_waits_for_the_reuse_delay_open_spare_connections_that_keep_the_delay() {
     let endpoint = Endpoint::start();
     let sidecar = Sidecar::start(&config_at(&[endpoint.address]));
     let mut client = sidecar.client();
-    let (start, mut asked) = (Instant::now(), 0);
-    // Each request at once after the last one's answer: a pause between them would be rest enough.
-    // One that comes in another one's stead makes no two for long.
+    let (start, mut sent) = (Instant::now(), 0);
+    // Each request follows the previous response at once: a pause would let the reuse delay pass.
+    // Five checks in a row: a connection that replaces another overlaps it only briefly.
     let mut both_open = 0;
     while both_open < 5 {
-        assert!(start.elapsed() < PATIENCE, "never came: a second connection");
-        asked += 1;
-        assert_eq!(client.ask("book", &format!("r{asked}")).status(), 200);
+        assert!(start.elapsed() < PATIENCE, "no second connection was opened");
+        sent += 1;
+        assert_eq!(client.ask("book", &format!("r{sent}")).status(), 200);
         both_open = if endpoint.open() >= 2 { both_open + 1 } else { 0 };
     }
-    // None comes before requests can have waited for ten whole rests.
-    assert!(asked > RESTS, "{asked}");
+    // No spare connection opens before requests have waited for ten full reuse delays.
+    assert!(sent > DELAYS_PER_SPARE, "{sent}");
     for n in 0..20 {
         assert_eq!(client.ask("book", &format!("s{n}")).status(), 200);
     }
-    let shortest = endpoint.pauses.lock().unwrap().iter().min().copied();
-    assert!(shortest >= Some(REST_SEEN), "{shortest:?}: a second copy might still have come");
+    let shortest = endpoint.reuse_intervals.lock().unwrap().iter().min().copied();
+    assert!(
+        shortest >= Some(OBSERVED_REUSE_DELAY),
+        "{shortest:?}: a second copy of the response could still arrive"
+    );
 }
 
 #[test]
-fn a_connection_outlives_the_client_whose_request_waited_for_its_rest() {
-    let (start, mut kept) = (Instant::now(), 0);
-    while kept < 3 {
-        assert!(start.elapsed() < PATIENCE, "a connection is lost with the client that waited for it");
+fn a_connection_survives_a_client_that_leaves_during_the_reuse_delay() {
+    let (start, mut reused) = (Instant::now(), 0);
+    while reused < 3 {
+        assert!(start.elapsed() < PATIENCE, "the connection closed with the client that waited for it");
         let peer = Peer::serving("ok");
         let sidecar = Sidecar::start(&config(&[&peer]));
         let (mut client, mut leaving) = (sidecar.client(), sidecar.client());
         assert_eq!(client.ask("quote", "first").status(), 200);
         leaving.send(&request("quote", "leaving", "10000m"));
-        // The request is read, and waits for the rest; then its client leaves.
-        thread::sleep(REST_SEEN / 4);
+        // The request is read and waits for the reuse delay; then its client disconnects.
+        thread::sleep(OBSERVED_REUSE_DELAY / 4);
         drop(leaving);
-        // Where its client's leaving is not noticed by the end of the rest, the request goes out, and counts.
-        thread::sleep(2 * REST_SEEN);
+        // If the disconnect is not noticed by the end of the delay, the request is sent and counted.
+        thread::sleep(2 * OBSERVED_REUSE_DELAY);
         assert_eq!(client.ask("quote", "last").status(), 200);
         let never_sent = peer.count() == 2;
-        kept += usize::from(never_sent && peer.connections.load(Ordering::SeqCst) == 1);
+        reused += usize::from(never_sent && peer.connections.load(Ordering::SeqCst) == 1);
     }
 }
 
 #[test]
-fn no_connection_is_opened_to_save_a_wait_beyond_what_an_operator_allows() {
+fn spare_connections_respect_the_configured_connection_limit() {
     let endpoint = Endpoint::start();
     let mut config = config_at(&[endpoint.address]);
     config["limits"]["endpoint_connections"] = json!(1);
     let sidecar = Sidecar::start(&config);
     let mut client = sidecar.client();
-    for n in 0..5 * RESTS {
+    for n in 0..5 * DELAYS_PER_SPARE {
         assert_eq!(client.ask("book", &format!("r{n}")).status(), 200);
     }
     assert_eq!(endpoint.connections(), 1);
--- a/crates/curlewhub/tests/surge.rs
+++ b/crates/curlewhub/tests/surge.rs
@@ -1,4 +1,4 @@
-//! The built sidecar when more comes at once than it has measured its endpoints for.
+//! Runs the built sidecar when more requests arrive at once than it has measured its endpoints to handle.
 
 #[path = "support/mod.rs"]
 mod support;
@@ -9,32 +9,33 @@
 use support::*;
 
 #[test]
-fn a_surge_on_few_endpoints_is_let_through_as_soon_as_their_answers_are_timely() {
-    let (come, answered) = (Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
-    let (counter, gate) = (come.clone(), answered.clone());
-    // Holds what comes until the test lets it go.
+fn the_concurrency_limit_of_few_endpoints_grows_as_soon_as_responses_are_on_time() {
+    let (received, released) = (Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
+    let (counter, gate) = (received.clone(), released.clone());
+    // Holds each request until the test releases it.
     let peer = Peer::new(move |_| {
         let number = counter.fetch_add(1, Ordering::SeqCst);
         wait_for("the gate", || gate.load(Ordering::SeqCst) > number);
         Do::Serve("ok")
     });
     let mut config = config(&[&peer]);
-    // Inside a tier no answer counts as late for its time, so that a slow machine changes nothing.
+    // Inside a tier no response counts as late by its duration, so that a slow machine does not change the
+    // result.
     config["settings"]["tiers"] = json!(["t", "u"]);
     config["settings"]["stage"] = json!(1);
     let sidecar = Sidecar::start(&config);
     let mut total = 0;
-    // Each round's first answers, timely ones, are all that lets the next, larger one through at once.
+    // Only the first, on-time responses of each round allow the next, larger round through at once.
     for at_once in [3, 4, 6, 8] {
         let mut clients: Vec<Client> = (0..at_once).map(|_| sidecar.client()).collect();
         for client in &mut clients {
             total += 1;
             client.send(&request("quote", &format!("r{total}"), "20000m"));
         }
-        wait_for(&format!("{at_once} calls at once"), || come.load(Ordering::SeqCst) == total);
-        answered.store(total, Ordering::SeqCst);
+        wait_for(&format!("{at_once} calls at once"), || received.load(Ordering::SeqCst) == total);
+        released.store(total, Ordering::SeqCst);
         for client in &mut clients {
-            assert_eq!(client.receive().expect("an answer").status(), 200);
+            assert_eq!(client.receive().expect("a response").status(), 200);
         }
     }
 }
--- a/crates/curlewhub/tests/system_calls.rs
+++ b/crates/curlewhub/tests/system_calls.rs
@@ -1,5 +1,5 @@
-//! The built sidecar while its own system calls fail in the ways that Linux documents, one row of
-//! docs/design/0019-system-calls.md each: every request that was accepted gets exactly one final answer.
+//! Runs the built sidecar while its own system calls fail in the ways that Linux documents, one row of
+//! docs/design/0019-system-calls.md at a time: every accepted request gets exactly one final response.
 
 #[path = "support/mod.rs"]
 mod support;
@@ -13,16 +13,16 @@
 use std::time::Duration;
 use support::*;
 
-/// Clients that ask at once, each on a connection of its own.
+/// Concurrent clients, each with its own connection.
 const CLIENTS: usize = 4;
-/// Requests of each client that are answered before a fault begins, so that connections are pooled.
-const BEFORE: usize = 10;
-/// Struck calls that a test waits for.
-const STRUCK: u64 = 20;
-/// How long a peer takes where connections are to be in use at once.
-const BUSY: Duration = Duration::from_millis(20);
-
-/// A sidecar under injection, and the endpoints that it calls.
+/// Requests that each client completes before a fault begins, so that connections are pooled.
+const WARM_UP_REQUESTS: usize = 10;
+/// Faults of each entry that a test waits for.
+const MIN_FAULTS: u64 = 20;
+/// Response delay of peers in tests that need several connections in use at once.
+const RESPONSE_DELAY: Duration = Duration::from_millis(20);
+
+/// A sidecar with fault injection, and its endpoints.
 struct Setup {
     _peers: Vec<Peer>,
     sidecar: Sidecar,
@@ -30,14 +30,16 @@
     folder: tempfile::TempDir,
 }
 
-/// The entries are off until they are switched on.
-fn setup(peers: Vec<Peer>, entries: impl FnOnce(&Places) -> Vec<Entry>) -> Setup {
+/// Starts a sidecar with these entries, which inject nothing until they are switched on.
+fn setup(peers: Vec<Peer>, entries: impl FnOnce(&FaultTargets) -> Vec<Entry>) -> Setup {
     let folder = tempfile::tempdir().unwrap();
     let addresses = peers.iter().map(|peer| peer.address).collect();
     let state = folder.path().join("state");
     std::fs::create_dir(&state).unwrap();
-    let entries =
-        entries(&Places { endpoints: Target::Connected(addresses), state: Target::Below(state.clone()) });
+    let entries = entries(&FaultTargets {
+        endpoints: Target::Connected(addresses),
+        state: Target::Below(state.clone()),
+    });
     let schedule =
         Schedule { seed: 1, program: Some("curlewhub".to_owned()), origin: Origin::Activation, entries };
     let injection = Injection::new(&schedule, folder.path(), "sidecar").unwrap();
@@ -47,149 +49,158 @@
     Setup { _peers: peers, sidecar, injection, folder }
 }
 
-/// What entries may strike.
-struct Places {
+/// What entries can target.
+struct FaultTargets {
     /// Connections to endpoints.
     endpoints: Target,
-    /// The folder of the sidecar's state.
+    /// The sidecar's state directory.
     state: Target,
 }
 
-/// What came of the requests of some clients.
+/// Counts the outcomes of the requests of some clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Outcome {
-    asked: usize,
+    sent: usize,
     /// Answered by an endpoint.
     served: usize,
-    /// Answered otherwise: refused, failed or late.
-    not_served: usize,
-    /// Sent, and the connection ended without an answer.
+    /// Answered with another status: rejected, failed or timed out.
+    failed: usize,
+    /// The connection ended without a response.
     unanswered: usize,
-    /// More bytes than one answer.
-    surplus: usize,
+    /// Responses with further bytes behind them.
+    surplus_responses: usize,
 }
 
 impl Outcome {
     fn add(self, other: Outcome) -> Outcome {
         Outcome {
-            asked: self.asked + other.asked,
+            sent: self.sent + other.sent,
             served: self.served + other.served,
-            not_served: self.not_served + other.not_served,
+            failed: self.failed + other.failed,
             unanswered: self.unanswered + other.unanswered,
-            surplus: self.surplus + other.surplus,
+            surplus_responses: self.surplus_responses + other.surplus_responses,
         }
     }
 
-    /// Every request got one answer.
-    fn is_whole(self) -> bool {
-        self.asked > 0 && self.served + self.not_served == self.asked && self.unanswered + self.surplus == 0
+    /// Every request got exactly one response.
+    fn each_answered_once(self) -> bool {
+        self.sent > 0
+            && self.served + self.failed == self.sent
+            && self.unanswered + self.surplus_responses == 0
     }
 
-    /// Every request was served once.
-    fn is_all_served(self) -> bool {
-        self.is_whole() && self.served == self.asked
+    /// Every request got exactly one response, from an endpoint.
+    fn all_served(self) -> bool {
+        self.each_answered_once() && self.served == self.sent
     }
 }
 
-/// A client's connection that is opened anew where it has ended.
-struct Asking<'a> {
+/// A client that reconnects when its connection has ended.
+struct ReconnectingClient<'a> {
     sidecar: &'a Sidecar,
     open: Option<BufReader<TcpStream>>,
-    /// Each request has a connection of its own.
-    anew: bool,
+    /// Uses a new connection for each request.
+    reconnect_each_time: bool,
     outcome: Outcome,
 }
 
-impl<'a> Asking<'a> {
-    fn new(sidecar: &'a Sidecar, anew: bool) -> Self {
-        Asking { sidecar, open: None, anew, outcome: Outcome::default() }
+impl<'a> ReconnectingClient<'a> {
+    fn new(sidecar: &'a Sidecar, reconnect_each_time: bool) -> Self {
+        ReconnectingClient { sidecar, open: None, reconnect_each_time, outcome: Outcome::default() }
     }
 
-    fn ask(&mut self, class: &str, id: &str) {
+    fn send_request(&mut self, class: &str, id: &str) {
         let mut connection = self.open.take().unwrap_or_else(|| {
-            let stream = TcpStream::connect(self.sidecar.address).expect("the system accepts");
+            let stream = TcpStream::connect(self.sidecar.address).expect("the connection is accepted");
             stream.set_read_timeout(Some(PATIENCE)).unwrap();
             BufReader::new(stream)
         });
-        self.outcome.asked += 1;
+        self.outcome.sent += 1;
         let sent = connection.get_mut().write_all(request(class, id, "10000m").as_bytes());
-        let answer = sent.ok().and_then(|()| Message::read(&mut connection));
-        match answer.as_ref().map(Message::status) {
+        let response = sent.ok().and_then(|()| Message::read(&mut connection));
+        match response.as_ref().map(Message::status) {
             Some(200) => self.outcome.served += 1,
-            Some(_) => self.outcome.not_served += 1,
+            Some(_) => self.outcome.failed += 1,
             None => self.outcome.unanswered += 1,
         }
-        self.outcome.surplus += usize::from(!connection.buffer().is_empty());
-        if self.anew && answer.is_some() {
-            self.outcome.surplus += usize::from(says_more(connection));
-        } else if answer.is_some_and(|answer| answer.header("connection") != "close") {
+        self.outcome.surplus_responses += usize::from(!connection.buffer().is_empty());
+        if self.reconnect_each_time && response.is_some() {
+            self.outcome.surplus_responses += usize::from(receives_more(connection));
+        } else if response.is_some_and(|response| response.header("connection") != "close") {
             self.open = Some(connection);
         }
     }
 
-    fn end(mut self) -> Outcome {
+    fn finish(mut self) -> Outcome {
         if let Some(connection) = self.open.take() {
-            self.outcome.surplus += usize::from(says_more(connection));
+            self.outcome.surplus_responses += usize::from(receives_more(connection));
         }
         self.outcome
     }
 }
 
-/// Whether anything comes after the last answer.
-fn says_more(mut connection: BufReader<TcpStream>) -> bool {
+/// Whether more bytes arrive after the last response.
+fn receives_more(mut connection: BufReader<TcpStream>) -> bool {
     let _ = connection.get_ref().shutdown(Shutdown::Write);
     let mut rest = Vec::new();
-    let _ = connection.read_to_end(&mut rest); // a reset is as good an end
+    let _ = connection.read_to_end(&mut rest); // a reset is a valid end too
     !rest.is_empty()
 }
 
 impl Setup {
-    fn serving(entries: impl FnOnce(&Places) -> Vec<Entry>) -> Setup {
+    fn serving(entries: impl FnOnce(&FaultTargets) -> Vec<Entry>) -> Setup {
         setup((0..3).map(|_| Peer::serving("ok")).collect(), entries)
     }
 
-    /// Clients ask before the entries are on, then until each entry has struck often enough, then once they are off.
-    fn play(&self, classes: &[&str], anew: bool) -> Outcome {
-        self.play_with(classes, anew, CLIENTS, STRUCK)
+    /// Sends requests before the entries are on, then until each entry has injected enough faults, then
+    /// after they are off. Returns the outcome of the second phase.
+    fn run_load(&self, classes: &[&str], reconnect_each_time: bool) -> Outcome {
+        self.run_load_with(classes, reconnect_each_time, CLIENTS, MIN_FAULTS)
     }
 
-    fn play_with(&self, classes: &[&str], anew: bool, clients: usize, struck: u64) -> Outcome {
-        self.rounds(classes, anew, clients, &|_, n| n < BEFORE);
+    fn run_load_with(
+        &self,
+        classes: &[&str],
+        reconnect_each_time: bool,
+        clients: usize,
+        min_faults: u64,
+    ) -> Outcome {
+        self.run_clients(classes, reconnect_each_time, clients, &|_, n| n < WARM_UP_REQUESTS);
         self.switch(Switch::On);
-        let enough = AtomicBool::new(false);
+        let stop = AtomicBool::new(false);
         let entries = self.entries();
-        let asked = AtomicUsize::new(0);
+        let sent = AtomicUsize::new(0);
         let during = std::thread::scope(|scope| {
             let load = scope.spawn(|| {
-                self.rounds(classes, anew, clients, &|_, _| {
-                    asked.fetch_add(1, Ordering::SeqCst);
-                    !enough.load(Ordering::SeqCst)
+                self.run_clients(classes, reconnect_each_time, clients, &|_, _| {
+                    sent.fetch_add(1, Ordering::SeqCst);
+                    !stop.load(Ordering::SeqCst)
                 })
             });
-            let came = |entry: usize| self.injection.struck(entry).unwrap() >= struck;
+            let reached = |entry: usize| self.injection.struck(entry).unwrap() >= min_faults;
             let began = std::time::Instant::now();
-            while !(0..entries).all(came) && began.elapsed() < PATIENCE && !load.is_finished() {
+            while !(0..entries).all(reached) && began.elapsed() < PATIENCE && !load.is_finished() {
                 std::thread::sleep(Duration::from_millis(5));
             }
-            enough.store(true, Ordering::SeqCst);
+            stop.store(true, Ordering::SeqCst);
             load.join().unwrap()
         });
-        let struck_all: Vec<u64> = (0..entries).map(|n| self.injection.struck(n).unwrap()).collect();
+        let fault_counts: Vec<u64> = (0..entries).map(|n| self.injection.struck(n).unwrap()).collect();
         assert!(
-            struck_all.iter().all(|n| *n >= struck),
-            "the faults came about: {struck_all:?} {during:?}"
+            fault_counts.iter().all(|n| *n >= min_faults),
+            "too few faults: {fault_counts:?} {during:?}"
         );
         self.switch(Switch::Off);
-        let after = self.rounds(classes, anew, clients, &|_, n| n < BEFORE);
-        assert!(after.is_all_served(), "once the fault is over: {after:?}");
-        eprintln!("struck {struck_all:?}: {during:?}");
+        let after = self.run_clients(classes, reconnect_each_time, clients, &|_, n| n < WARM_UP_REQUESTS);
+        assert!(after.all_served(), "after the fault: {after:?}");
+        eprintln!("faults {fault_counts:?}: {during:?}");
         during
     }
 
-    fn rounds(
+    fn run_clients(
         &self,
         classes: &[&str],
-        anew: bool,
+        reconnect_each_time: bool,
         clients: usize,
         more: &(dyn Fn(usize, usize) -> bool + Sync),
     ) -> Outcome {
@@ -199,11 +210,11 @@
             let clients: Vec<_> = (0..clients)
                 .map(|c| {
                     scope.spawn(move || {
-                        let mut asking = Asking::new(&self.sidecar, anew);
+                        let mut client = ReconnectingClient::new(&self.sidecar, reconnect_each_time);
                         for n in (0..).take_while(|n| more(c, *n)) {
-                            asking.ask(classes[n % classes.len()], &format!("r{round}-{c}-{n}"));
+                            client.send_request(classes[n % classes.len()], &format!("r{round}-{c}-{n}"));
                         }
-                        asking.end()
+                        client.finish()
                     })
                 })
                 .collect();
@@ -221,35 +232,35 @@
     }
 }
 
-/// A class whose requests may be repeated, and one whose requests may not.
+/// A class whose requests may be retried, and one whose requests may not.
 const CLASSES: [&str; 2] = ["quote", "book"];
 
-fn each_tenth(call: Call, errno: Errno) -> Entry {
+fn fails_each_tenth(call: Call, errno: Errno) -> Entry {
     Entry::fails(&[call], errno).striking(Strikes::EveryNth(10))
 }
 
 #[test]
 fn each_tenth_recv_is_interrupted() {
-    let setup = Setup::serving(|_| vec![each_tenth(Call::Recv, Errno::Eintr)]);
-    let outcome = setup.play(&CLASSES, false);
-    assert!(outcome.is_all_served(), "{outcome:?}\n{}", setup.sidecar.log());
+    let setup = Setup::serving(|_| vec![fails_each_tenth(Call::Recv, Errno::Eintr)]);
+    let outcome = setup.run_load(&CLASSES, false);
+    assert!(outcome.all_served(), "{outcome:?}\n{}", setup.sidecar.log());
 }
 
 #[test]
 fn each_tenth_send_is_interrupted() {
-    let setup = Setup::serving(|_| vec![each_tenth(Call::Send, Errno::Eintr)]);
-    let outcome = setup.play(&CLASSES, false);
-    assert!(outcome.is_all_served(), "{outcome:?}\n{}", setup.sidecar.log());
+    let setup = Setup::serving(|_| vec![fails_each_tenth(Call::Send, Errno::Eintr)]);
+    let outcome = setup.run_load(&CLASSES, false);
+    assert!(outcome.all_served(), "{outcome:?}\n{}", setup.sidecar.log());
 }
 
 #[test]
-fn recv_and_send_are_interrupted_on_new_connections_too() {
+fn recv_and_send_are_interrupted_on_new_connections() {
     let both = [Call::Recv, Call::Send];
     let setup = Setup::serving(|_| {
         vec![Entry::fails(&both, Errno::Eintr).on(Target::Accepted).striking(Strikes::Share(0.3))]
     });
-    let outcome = setup.play(&CLASSES, true);
-    assert!(outcome.is_all_served(), "{outcome:?}\n{}", setup.sidecar.log());
+    let outcome = setup.run_load(&CLASSES, true);
+    assert!(outcome.all_served(), "{outcome:?}\n{}", setup.sidecar.log());
 }
 
 #[test]
@@ -257,114 +268,120 @@
     let setup = Setup::serving(|_| {
         vec![Entry::fails(&[Call::EpollWait], Errno::Eintr).striking(Strikes::EveryNth(3))]
     });
-    let outcome = setup.play(&CLASSES, false);
-    assert!(outcome.is_all_served(), "{outcome:?}");
+    let outcome = setup.run_load(&CLASSES, false);
+    assert!(outcome.all_served(), "{outcome:?}");
 }
 
 #[test]
-fn each_third_accept_finds_its_connection_aborted() {
+fn each_third_accept_fails_with_econnaborted() {
     let setup = Setup::serving(|_| {
         vec![Entry::fails(&[Call::Accept], Errno::Econnaborted).striking(Strikes::EveryNth(3))]
     });
-    let outcome = setup.play(&CLASSES, true);
-    assert!(outcome.is_all_served(), "{outcome:?}");
+    let outcome = setup.run_load(&CLASSES, true);
+    assert!(outcome.all_served(), "{outcome:?}");
 }
 
 #[test]
-fn accept_is_interrupted_or_fails_for_a_moment_in_each_way() {
+fn accept_is_interrupted_or_fails_with_each_transient_error() {
     use Errno::{Ehostunreach, Eintr, Emfile, Enetdown, Enetunreach, Enobufs, Enomem};
     for errno in [Eintr, Emfile, Enobufs, Enomem, Enetdown, Ehostunreach, Enetunreach] {
         let setup =
             Setup::serving(|_| vec![Entry::fails(&[Call::Accept], errno).striking(Strikes::EveryNth(3))]);
-        let outcome = setup.play_with(&CLASSES, true, 2, 3);
-        assert!(outcome.is_all_served(), "{errno}: {outcome:?}");
+        let outcome = setup.run_load_with(&CLASSES, true, 2, 3);
+        assert!(outcome.all_served(), "{errno}: {outcome:?}");
     }
 }
 
 #[test]
-fn accept_lacks_descriptors_for_a_while() {
+fn accept_fails_with_enfile_until_the_fault_ends() {
     let setup = Setup::serving(|_| vec![Entry::fails(&[Call::Accept], Errno::Enfile)]);
-    let mut open = Asking::new(&setup.sidecar, false);
-    open.ask("quote", "before");
+    let mut open = ReconnectingClient::new(&setup.sidecar, false);
+    open.send_request("quote", "before");
     setup.switch(Switch::On);
     std::thread::scope(|scope| {
         let new = scope.spawn(|| {
-            let mut new = Asking::new(&setup.sidecar, false);
-            new.ask("quote", "new");
-            new.end()
+            let mut new = ReconnectingClient::new(&setup.sidecar, false);
+            new.send_request("quote", "new");
+            new.finish()
         });
         wait_for("a failed accept", || setup.injection.struck(0).unwrap() > 0);
-        open.ask("quote", "open");
+        open.send_request("quote", "open");
         assert!(!new.is_finished(), "no connection is accepted yet");
         setup.switch(Switch::Off);
         let new = new.join().unwrap();
-        assert!(new.is_all_served(), "{new:?}");
+        assert!(new.all_served(), "{new:?}");
     });
-    let open = open.end();
-    assert!(open.is_all_served(), "{open:?}");
+    let open = open.finish();
+    assert!(open.all_served(), "{open:?}");
 }
 
-/// Endpoints that take a while, so that more connections are wanted than are pooled, and that end some.
-fn busy() -> Vec<Peer> {
+/// Endpoints that respond slowly, so that more connections are needed than are pooled, and that close some
+/// of them.
+fn slow_endpoints() -> Vec<Peer> {
     let peer = |_| {
         let count = AtomicUsize::new(0);
         Peer::new(move |_| match count.fetch_add(1, Ordering::SeqCst) % 8 {
             7 => Do::ServeAndEnd("ok"),
-            _ => Do::Late(BUSY),
+            _ => Do::Late(RESPONSE_DELAY),
         })
     };
     (0..3).map(peer).collect()
 }
 
 #[test]
-fn connections_to_endpoints_lack_an_address_or_a_route_while_others_are_pooled() {
+fn half_of_all_connects_to_endpoints_fail_while_other_connections_are_pooled() {
     for errno in [Errno::Eaddrnotavail, Errno::Enetunreach] {
-        let setup = setup(busy(), |places| {
+        let setup = setup(slow_endpoints(), |targets| {
             let half = Entry::fails(&[Call::Connect], errno).striking(Strikes::EveryNth(2));
-            vec![half.on(places.endpoints.clone())]
+            vec![half.on(targets.endpoints.clone())]
         });
-        let outcome = setup.play_with(&CLASSES, false, CLIENTS, 10);
-        assert!(outcome.is_all_served(), "{errno}: {outcome:?}\n{}", setup.sidecar.log());
+        let outcome = setup.run_load_with(&CLASSES, false, CLIENTS, 10);
+        assert!(outcome.all_served(), "{errno}: {outcome:?}\n{}", setup.sidecar.log());
     }
 }
 
 #[test]
-fn no_connection_to_any_endpoint_can_be_made() {
+fn each_new_connect_to_an_endpoint_fails() {
     for errno in [Errno::Eaddrnotavail, Errno::Enetunreach] {
-        let setup = setup(busy(), |places| {
-            vec![Entry::fails(&[Call::Connect], errno).on(places.endpoints.clone())]
+        let setup = setup(slow_endpoints(), |targets| {
+            vec![Entry::fails(&[Call::Connect], errno).on(targets.endpoints.clone())]
         });
-        let outcome = setup.play_with(&CLASSES, false, CLIENTS, 10);
-        assert!(outcome.is_whole(), "{errno}: {outcome:?}\n{}", setup.sidecar.log());
+        let outcome = setup.run_load_with(&CLASSES, false, CLIENTS, 10);
+        assert!(outcome.each_answered_once(), "{errno}: {outcome:?}\n{}", setup.sidecar.log());
     }
 }
 
 #[test]
-fn no_connection_can_be_made_from_the_first_request_on() {
+fn each_connect_fails_from_the_first_request_on() {
     for errno in [Errno::Eaddrnotavail, Errno::Enetunreach] {
-        let setup = Setup::serving(|places| {
-            vec![Entry::fails(&[Call::Connect], errno).on(places.endpoints.clone())]
+        let setup = Setup::serving(|targets| {
+            vec![Entry::fails(&[Call::Connect], errno).on(targets.endpoints.clone())]
         });
         setup.switch(Switch::On);
-        let during = setup.rounds(&CLASSES, false, CLIENTS, &|_, n| n < BEFORE);
-        assert!(during.is_whole() && during.served == 0, "{errno}: {during:?}\n{}", setup.sidecar.log());
+        let during = setup.run_clients(&CLASSES, false, CLIENTS, &|_, n| n < WARM_UP_REQUESTS);
+        assert!(
+            during.each_answered_once() && during.served == 0,
+            "{errno}: {during:?}\n{}",
+            setup.sidecar.log()
+        );
         assert!(setup.injection.struck(0).unwrap() > 0);
         setup.switch(Switch::Off);
-        // Endpoints may be spared for a moment after so many failures.
+        // Endpoints may be skipped for a moment after so many failures.
         wait_for("a served request", || setup.sidecar.ask("quote", "after").status() == 200);
-        let after = setup.rounds(&CLASSES, false, CLIENTS, &|_, n| n < BEFORE);
-        assert!(after.is_all_served(), "{errno}: {after:?}\n{}", setup.sidecar.log());
+        let after = setup.run_clients(&CLASSES, false, CLIENTS, &|_, n| n < WARM_UP_REQUESTS);
+        assert!(after.all_served(), "{errno}: {after:?}\n{}", setup.sidecar.log());
         eprintln!("{errno}: {during:?}, then {after:?}");
     }
 }
 
 #[test]
-fn sockets_for_new_connections_can_not_be_had_for_a_moment() {
+fn half_of_all_socket_calls_fail() {
     for errno in [Errno::Enfile, Errno::Emfile, Errno::Enobufs] {
-        let setup =
-            setup(busy(), |_| vec![Entry::fails(&[Call::Socket], errno).striking(Strikes::EveryNth(2))]);
-        let outcome = setup.play_with(&CLASSES, false, CLIENTS, 10);
-        assert!(outcome.is_all_served(), "{errno}: {outcome:?}\n{}", setup.sidecar.log());
+        let setup = setup(slow_endpoints(), |_| {
+            vec![Entry::fails(&[Call::Socket], errno).striking(Strikes::EveryNth(2))]
+        });
+        let outcome = setup.run_load_with(&CLASSES, false, CLIENTS, 10);
+        assert!(outcome.all_served(), "{errno}: {outcome:?}\n{}", setup.sidecar.log());
     }
 }
 
@@ -372,64 +389,69 @@
 fn reads_and_writes_are_short() {
     let short = |call, bytes| Entry::new(&[call], Effect::Short { bytes });
     let setup = Setup::serving(|_| vec![short(Call::Recv, 7), short(Call::Send, 5)]);
-    // Each request and each answer takes many calls now.
-    let outcome = setup.play_with(&CLASSES, false, CLIENTS, 2000);
-    assert!(outcome.is_all_served(), "{outcome:?}\n{}", setup.sidecar.log());
+    // Each request and each response now takes many calls.
+    let outcome = setup.run_load_with(&CLASSES, false, CLIENTS, 2000);
+    assert!(outcome.all_served(), "{outcome:?}\n{}", setup.sidecar.log());
 }
 
-/// What breaks a connection to an endpoint: a safe request is served all the same, and each other one is answered.
-fn connections_to_endpoints_break_by(errno: Errno, call: Call, nth: u64) {
-    let broken = |places: &Places| {
-        let entry = Entry::fails(&[call], errno).on(places.endpoints.clone());
+/// Breaks connections to endpoints: each safe request is still served, and each other one gets one
+/// response.
+fn check_broken_endpoint_connections(errno: Errno, call: Call, nth: u64) {
+    let broken = |targets: &FaultTargets| {
+        let entry = Entry::fails(&[call], errno).on(targets.endpoints.clone());
         vec![entry.striking(Strikes::EveryNth(nth))]
     };
     let setup = Setup::serving(broken);
-    let outcome = setup.play(&["quote"], false);
-    assert!(outcome.is_all_served(), "{call} {errno}: {outcome:?}\n{}", setup.sidecar.log());
+    let outcome = setup.run_load(&["quote"], false);
+    assert!(outcome.all_served(), "{call} {errno}: {outcome:?}\n{}", setup.sidecar.log());
     let setup = Setup::serving(broken);
-    let outcome = setup.play(&["book"], false);
-    assert!(outcome.is_whole(), "{call} {errno}, not repeatable: {outcome:?}\n{}", setup.sidecar.log());
+    let outcome = setup.run_load(&["book"], false);
+    assert!(
+        outcome.each_answered_once(),
+        "{call} {errno}, not retryable: {outcome:?}\n{}",
+        setup.sidecar.log()
+    );
 }
 
 #[test]
 fn each_50th_recv_from_endpoints_times_out() {
-    connections_to_endpoints_break_by(Errno::Etimedout, Call::Recv, 50);
+    check_broken_endpoint_connections(Errno::Etimedout, Call::Recv, 50);
 }
 
 #[test]
 fn each_20th_recv_from_endpoints_has_no_route() {
-    connections_to_endpoints_break_by(Errno::Ehostunreach, Call::Recv, 20);
+    check_broken_endpoint_connections(Errno::Ehostunreach, Call::Recv, 20);
 }
 
 #[test]
 fn each_20th_send_to_endpoints_times_out_or_has_no_route() {
     for errno in [Errno::Etimedout, Errno::Ehostunreach] {
-        connections_to_endpoints_break_by(errno, Call::Send, 20);
+        check_broken_endpoint_connections(errno, Call::Send, 20);
     }
 }
 
 #[test]
-fn a_broken_connection_of_a_client_takes_no_other_request_with_it() {
+fn a_broken_client_connection_fails_no_request_of_other_connections() {
     for errno in [Errno::Etimedout, Errno::Ehostunreach] {
         let setup = Setup::serving(|_| {
             vec![Entry::fails(&[Call::Recv], errno).on(Target::Accepted).striking(Strikes::EveryNth(20))]
         });
-        let outcome = setup.play(&CLASSES, false);
-        // What is struck is the client's own connection: nobody can be answered on it any more.
+        let outcome = setup.run_load(&CLASSES, false);
+        // The fault breaks the client's own connection: no response can be sent on it any more.
         let struck = setup.injection.struck(0).unwrap() as usize;
-        assert!(outcome.unanswered <= struck, "{errno}: {struck} struck, {outcome:?}");
-        let rest = Outcome { asked: outcome.asked - outcome.unanswered, unanswered: 0, ..outcome };
-        assert!(rest.is_all_served(), "{errno}: {outcome:?}\n{}", setup.sidecar.log());
+        assert!(outcome.unanswered <= struck, "{errno}: {struck} faults, {outcome:?}");
+        let rest = Outcome { sent: outcome.sent - outcome.unanswered, unanswered: 0, ..outcome };
+        assert!(rest.all_served(), "{errno}: {outcome:?}\n{}", setup.sidecar.log());
     }
 }
 
 #[test]
-fn the_folder_of_the_state_is_full_or_broken() {
+fn writes_to_the_state_directory_fail() {
     let calls = [Call::Open, Call::Write, Call::Fsync, Call::Ftruncate, Call::Rename];
     for errno in [Errno::Enospc, Errno::Eio] {
-        let setup = Setup::serving(|places| vec![Entry::fails(&calls, errno).on(places.state.clone())]);
-        let outcome = setup.play_with(&["pay", "quote"], false, CLIENTS, 1);
-        assert!(outcome.is_all_served(), "{errno}: {outcome:?}\n{}", setup.sidecar.log());
+        let setup = Setup::serving(|targets| vec![Entry::fails(&calls, errno).on(targets.state.clone())]);
+        let outcome = setup.run_load_with(&["pay", "quote"], false, CLIENTS, 1);
+        assert!(outcome.all_served(), "{errno}: {outcome:?}\n{}", setup.sidecar.log());
     }
 }
 
@@ -438,7 +460,7 @@
     for offset_ms in [-3_600_000, -3_000, 3_000, 3_600_000] {
         let setup = Setup::serving(|_| vec![Entry::new(&[], Effect::ClockStep { offset_ms })]);
         // Each request reads the wall clock a few times.
-        let outcome = setup.play_with(&["quote", "book", "pay"], false, CLIENTS, 300);
-        assert!(outcome.is_all_served(), "{offset_ms}: {outcome:?}\n{}", setup.sidecar.log());
+        let outcome = setup.run_load_with(&["quote", "book", "pay"], false, CLIENTS, 300);
+        assert!(outcome.all_served(), "{offset_ms}: {outcome:?}\n{}", setup.sidecar.log());
     }
 }
--- a/crates/curlewhub/tests/waits/limits.rs
+++ b/crates/curlewhub/tests/waits/limits.rs
@@ -1,4 +1,4 @@
-//! The built sidecar at its limits and at its end: descriptors, SIGTERM, the backlog.
+//! Runs the built sidecar at its descriptor limit, on SIGTERM and with a full accept backlog.
 
 use super::support::*;
 use serde_json::json;
@@ -6,11 +6,11 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn more_clients_than_sockets_are_all_answered_within_the_limit() {
+fn more_clients_than_descriptors_are_all_answered_within_the_limit() {
     let peer = Peer::new(|_| Do::Late(Duration::from_millis(300)));
     let mut config = config(&[&peer]);
     config["limits"]["sockets"] = json!(128);
-    // The kernel holds it to the same figure: going over would show as errors.
+    // The kernel enforces the same limit: exceeding it would show as errors.
     let sidecar = Sidecar::start_with(&config, "ulimit -n 128;");
     let connect = |n| {
         let mut client = sidecar.client();
@@ -18,24 +18,24 @@
         client
     };
     let mut clients: Vec<Client> = (0..200).map(connect).collect();
-    let mut most = 0;
+    let mut peak = 0;
     let mut served = 0;
     for client in &mut clients {
-        most = most.max(sidecar.descriptors());
-        let answer = client.receive().expect("a whole answer for everyone");
-        assert!(matches!(answer.status(), 200 | 503), "{}", answer.first_line);
-        served += usize::from(answer.status() == 200);
+        peak = peak.max(sidecar.descriptors());
+        let response = client.receive().expect("a complete response for each client");
+        assert!(matches!(response.status(), 200 | 503), "{}", response.first_line);
+        served += usize::from(response.status() == 200);
     }
-    assert!(most <= 128, "{most} descriptors");
+    assert!(peak <= 128, "{peak} descriptors");
     assert!(served >= 40, "{served} served");
     drop(clients);
     assert_eq!(sidecar.ask("quote", "after").status(), 200);
 }
 
 #[test]
-fn running_out_of_descriptors_neither_spins_nor_exits() {
+fn a_sidecar_out_of_descriptors_neither_spins_nor_exits() {
     let peer = Peer::serving("ok");
-    // Its budget says 1,024, but the kernel gives it far fewer.
+    // The configured limit is 1,024, but the kernel allows far fewer.
     let mut sidecar = Sidecar::start_with(&config(&[&peer]), "ulimit -n 40;");
     assert_eq!(sidecar.ask("quote", "before").status(), 200);
     let clients: Vec<Client> = (0..60).map(|_| sidecar.client()).collect();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn idle_clients_make_room_for_new_ones() {
+fn idle_client_connections_are_closed_to_accept_new_ones() {
     let peer = Peer::serving("ok");
     let mut config = config(&[&peer]);
     config["limits"]["sockets"] = json!(96);
@@ -62,12 +62,12 @@
         idle.push(client);
     }
     let start = Instant::now();
-    wait_for("room", || sidecar.ask("quote", "new").status() == 200);
-    assert!(start.elapsed() < Duration::from_secs(12), "well before they would be closed for idleness");
+    wait_for("a free descriptor", || sidecar.ask("quote", "new").status() == 200);
+    assert!(start.elapsed() < Duration::from_secs(12), "well before the idle timeout would close them");
 }
 
 #[test]
-fn a_connection_just_used_is_not_closed_under_its_client_to_make_room() {
+fn a_recently_used_connection_is_not_closed_abruptly_to_free_descriptors() {
     let peer = Peer::new(|m| if m.target().starts_with("/book") { Do::Serve("ok") } else { Do::Silence });
     let mut config = config(&[&peer]);
     config["limits"]["sockets"] = json!(128);
@@ -81,22 +81,24 @@
         for (n, other) in others.iter_mut().enumerate() {
             other.send(&request("quote", &format!("s{n}"), "20000m"));
         }
-        // All but one of the fifty that there is room for; the others find none.
-        wait_for("the room to be taken", || peer.count() >= before + 3 && others[59].receive().is_some());
+        // All but one of the fifty connections that fit are in use; the others are rejected.
+        wait_for("the descriptors to be used up", || {
+            peer.count() >= before + 3 && others[59].receive().is_some()
+        });
         client.send(&request("book", "r2", "20000m"));
         if answered.elapsed() > Duration::from_millis(500) {
-            continue; // too slow a machine to say that it was just used
+            continue; // the machine is too slow for this to count as recently used
         }
-        let answer = client.receive().expect("an answer on the same connection");
-        assert!(matches!(answer.status(), 200 | 503), "{}", answer.first_line);
-        assert_eq!(answer.header("connection"), "close");
+        let response = client.receive().expect("a response on the same connection");
+        assert!(matches!(response.status(), 200 | 503), "{}", response.first_line);
+        assert_eq!(response.header("connection"), "close");
         return;
     }
-    panic!("the machine never was quick enough");
+    panic!("the machine was never fast enough");
 }
 
 #[test]
-fn sigterm_finishes_what_is_in_flight_and_what_still_comes() {
+fn requests_in_flight_at_sigterm_and_after_it_are_completed() {
     let peer = Peer::new(|_| Do::Late(Duration::from_millis(1000)));
     let mut sidecar = Sidecar::start(&config(&[&peer]));
     let mut idle = sidecar.client();
@@ -109,18 +111,18 @@
     let mut late = sidecar.client();
     late.send(&request("book", "r2", "20000m"));
     for client in [&mut early, &mut late] {
-        let answer = client.receive().expect("an answer in spite of the drain");
-        assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
+        let response = client.receive().expect("a response in spite of the drain");
+        assert_eq!((response.status(), response.header("connection")), (200, "close"));
     }
     assert!(idle.receive().is_none(), "idle connections are closed");
     assert!(sidecar.ended().success());
 }
 
 #[test]
-fn what_waits_in_the_backlog_at_sigterm_is_answered() {
+fn connections_in_the_backlog_at_sigterm_are_answered() {
     let peer = Peer::serving("ok");
     let mut sidecar = Sidecar::start(&config(&[&peer]));
-    // Stopped, it can accept nothing: the kernel does.
+    // While the process is stopped, only the kernel accepts connections.
     sidecar.signal("-STOP");
     let mut clients: Vec<Client> = (0..50).map(|_| sidecar.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
@@ -130,20 +132,23 @@
     thread::sleep(Duration::from_millis(50));
     sidecar.signal("-CONT");
     for client in &mut clients {
-        assert_eq!(client.receive().expect("taken, so answered").status(), 200);
+        assert_eq!(
+            client.receive().expect("the connection was accepted, so it gets a response").status(),
+            200
+        );
     }
     assert!(sidecar.ended().success());
 }
 
 #[test]
-fn what_can_not_be_finished_before_sigkill_is_failed() {
+fn requests_that_can_not_finish_before_sigkill_get_an_error() {
     let peer = Peer::new(|_| Do::Silence);
     let mut sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
     client.send(&request("book", "r1", "20000m"));
     wait_for("the attempt", || peer.count() == 1);
     sidecar.signal("-TERM");
-    let answer = client.receive().expect("a whole answer before the end");
-    assert!(!matches!(answer.status(), 200 | 429 | 503), "{}", answer.first_line);
+    let response = client.receive().expect("a complete response before the process exits");
+    assert!(!matches!(response.status(), 200 | 429 | 503), "{}", response.first_line);
     assert!(sidecar.ended().success());
 }
--- a/crates/curlewhub/tests/waits/list.rs
+++ b/crates/curlewhub/tests/waits/list.rs
@@ -1,4 +1,4 @@
-//! The built sidecar and its list of endpoints: known at start, watched, drained.
+//! Runs the built sidecar with its list of endpoints: configured at start, watched, drained.
 
 use super::support::discovery::Discovery;
 use super::support::*;
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
-/// A sidecar that starts with the first peer and follows this discovery.
-fn following(peer: &Peer, discovery: &Discovery, mode: &str) -> Sidecar {
+/// Starts a sidecar that has this peer in its initial list and watches this discovery server.
+fn start_with_discovery(peer: &Peer, discovery: &Discovery, mode: &str) -> Sidecar {
     let mut config = config(&[peer]);
     config["discovery"] = json!(discovery.address.to_string());
     config["settings"]["discovery"] = json!(mode);
@@ -16,52 +16,56 @@
 }
 
 #[test]
-fn the_known_list_serves_while_discovery_is_down() {
+fn the_configured_list_is_used_while_discovery_is_down() {
     let peer = Peer::serving("ok");
     let sidecar = Sidecar::start(&config(&[&peer])); // its discovery refuses connections
     assert_eq!(sidecar.ask("book", "r1").status(), 200);
 }
 
 #[test]
-fn a_drain_told_stops_sends_and_closes_idle_connections() {
+fn a_drain_stops_new_requests_and_closes_idle_connections() {
     for (mode, state) in [("subscribe", "draining"), ("automatic", "removed")] {
         let (old, new) = (Peer::serving("old"), Peer::serving("new"));
         let discovery = Discovery::new(list(8, false, &[]));
-        let sidecar = following(&old, &discovery, mode);
+        let sidecar = start_with_discovery(&old, &discovery, mode);
         assert_eq!(sidecar.ask("book", "r1").body, b"old");
         discovery.say(&list(9, false, &[target("s-new", new.address, "up")]).to_string());
         discovery.say(&list(10, false, &[target("s-0", old.address, state)]).to_string());
-        wait_for("the idle connection's end", || old.closed() == 1);
+        wait_for("the idle connection to end", || old.closed() == 1);
         let before = old.count();
         for n in 0..20 {
             assert_eq!(sidecar.ask("book", &format!("s{n}")).body, b"new");
         }
-        assert_eq!(old.count(), before, "nothing new went there");
+        assert_eq!(old.count(), before, "a new request was sent there");
     }
 }
 
 #[test]
-fn a_drain_told_in_a_line_that_breaks_off_counts_at_once() {
+fn a_drain_in_a_truncated_line_is_applied_at_once() {
     let (old, new) = (Peer::serving("old"), Peer::serving("new"));
     let discovery = Discovery::new(list(8, false, &[target("s-new", new.address, "up")]));
-    let sidecar = following(&old, &discovery, "subscribe");
-    wait_for("a call to the old one", || sidecar.ask("book", "r1").body == b"old");
+    let sidecar = start_with_discovery(&old, &discovery, "subscribe");
+    wait_for("a response from the old endpoint", || sidecar.ask("book", "r1").body == b"old");
     let changes = [target("s-0", old.address, "draining"), target("s-new", new.address, "removed")];
-    let torn = list(11, false, &changes).to_string();
-    discovery.say_part(&torn[..torn.len() - 5]);
-    wait_for("the idle connection's end", || old.closed() >= 1);
+    let truncated = list(11, false, &changes).to_string();
+    discovery.say_part(&truncated[..truncated.len() - 5]);
+    wait_for("the idle connection to end", || old.closed() >= 1);
     for n in 0..20 {
-        assert_eq!(sidecar.ask("book", &format!("s{n}")).body, b"new", "its end was not told whole");
+        assert_eq!(
+            sidecar.ask("book", &format!("s{n}")).body,
+            b"new",
+            "the removal was not received completely"
+        );
     }
     wait_for("a second watch", || discovery.calls().len() == 2);
-    assert_eq!(discovery.calls()[1], "/api/targets?watch=1&after=8", "the rest is asked for");
+    assert_eq!(discovery.calls()[1], "/api/targets?watch=1&after=8", "the rest is requested");
 }
 
 #[test]
-fn an_endpoint_at_a_new_address_is_found_there() {
+fn an_endpoint_that_changes_its_address_is_used_at_the_new_one() {
     let (old, new) = (Peer::serving("old"), Peer::serving("new"));
     let discovery = Discovery::new(list(8, false, &[]));
-    let sidecar = following(&old, &discovery, "subscribe");
+    let sidecar = start_with_discovery(&old, &discovery, "subscribe");
     assert_eq!(sidecar.ask("book", "r1").body, b"old");
     discovery.say(&list(9, false, &[target("s-0", new.address, "up")]).to_string());
     wait_for("the old address's connection to end", || old.closed() == 1);
@@ -69,10 +73,10 @@
 }
 
 #[test]
-fn a_whole_list_without_an_endpoint_says_that_it_is_gone() {
+fn an_endpoint_missing_from_a_full_list_is_removed() {
     let (old, new) = (Peer::serving("old"), Peer::serving("new"));
     let discovery = Discovery::new(list(8, true, &[target("s-new", new.address, "up")]));
-    let sidecar = following(&old, &discovery, "subscribe");
+    let sidecar = start_with_discovery(&old, &discovery, "subscribe");
     wait_for("the new list", || sidecar.ask("quote", "r").body == b"new");
     for n in 0..10 {
         assert_eq!(sidecar.ask("book", &format!("r{n}")).body, b"new");
@@ -80,11 +84,11 @@
 }
 
 #[test]
-fn a_silent_watch_is_dropped_and_followed_from_the_last_version() {
+fn a_silent_watch_is_reopened_from_the_last_version() {
     for mode in ["subscribe", "automatic"] {
         let peer = Peer::serving("ok");
-        let discovery = Discovery::new(list(8, false, &[])); // no empty line ever comes
-        let sidecar = following(&peer, &discovery, mode);
+        let discovery = Discovery::new(list(8, false, &[])); // it never sends empty lines
+        let sidecar = start_with_discovery(&peer, &discovery, mode);
         wait_for("the first watch", || discovery.calls().len() == 1);
         assert_eq!(discovery.calls()[0], "/api/targets?watch=1&after=7", "from the known version");
         discovery.say(&list(12, false, &[]).to_string());
@@ -95,11 +99,11 @@
 }
 
 #[test]
-fn a_watch_with_an_undecodable_line_begins_again() {
+fn a_watch_with_an_invalid_line_is_reopened() {
     for mode in ["subscribe", "automatic"] {
         let peer = Peer::serving("ok");
         let discovery = Discovery::new(list(8, false, &[]));
-        let sidecar = following(&peer, &discovery, mode);
+        let sidecar = start_with_discovery(&peer, &discovery, mode);
         wait_for("the first watch", || discovery.calls().len() == 1);
         discovery.say("{\"rev\":9,\"all\":false,\"targets\":[{\"uid\":7}]}");
         wait_for("a second watch", || discovery.calls().len() == 2);
@@ -109,10 +113,10 @@
 }
 
 #[test]
-fn a_watch_kept_alive_by_empty_lines_is_not_dropped() {
+fn a_watch_kept_alive_by_empty_lines_stays_open() {
     let peer = Peer::serving("ok");
     let discovery = Discovery::new(list(8, false, &[]));
-    let _sidecar = following(&peer, &discovery, "subscribe");
+    let _sidecar = start_with_discovery(&peer, &discovery, "subscribe");
     wait_for("the first watch", || discovery.calls().len() == 1);
     for _ in 0..14 {
         thread::sleep(std::time::Duration::from_millis(500));
@@ -122,14 +126,14 @@
 }
 
 #[test]
-fn endpoints_under_ever_new_ids_leave_nothing_behind() {
+fn state_of_endpoints_with_changing_ids_is_released() {
     let peer = Peer::serving("ok");
     let discovery = Discovery::new(list(8, false, &[]));
-    let sidecar = following(&peer, &discovery, "subscribe");
+    let sidecar = start_with_discovery(&peer, &discovery, "subscribe");
     wait_for("the first watch", || discovery.calls().len() == 1);
     let mut old = "s-0".to_owned();
     for n in 0..200 {
-        // Each new one stands at the address of the one that has gone.
+        // Each new endpoint has the address of the removed one.
         let new = format!("n-{n}");
         let change = [target(&new, peer.address, "up"), target(&old, peer.address, "removed")];
         discovery.say(&list(9 + n, false, &change).to_string());
@@ -145,21 +149,21 @@
 }
 
 #[test]
-fn a_new_endpoint_at_an_old_address_gets_connections_of_its_own() {
+fn a_new_endpoint_at_a_reused_address_gets_new_connections() {
     let peer = Peer::serving("ok");
     let discovery = Discovery::new(list(8, false, &[]));
-    let sidecar = following(&peer, &discovery, "subscribe");
+    let sidecar = start_with_discovery(&peer, &discovery, "subscribe");
     wait_for("the first watch", || discovery.calls().len() == 1);
     assert_eq!(sidecar.ask("book", "r1").status(), 200);
     let change = [target("s-new", peer.address, "up"), target("s-0", peer.address, "removed")];
     discovery.say(&list(9, false, &change).to_string());
-    wait_for("the old one's connection to end", || peer.closed() == 1);
+    wait_for("the connection to the old endpoint to end", || peer.closed() == 1);
     assert_eq!(sidecar.ask("book", "r2").status(), 200);
     assert_eq!(peer.connections.load(std::sync::atomic::Ordering::SeqCst), 2);
 }
 
 #[test]
-fn a_list_that_is_cut_short_is_no_list() {
+fn a_truncated_list_is_not_applied() {
     let [first, second] = [Peer::serving("ok"), Peer::serving("ok")];
     let entry = |n: usize, peer: &Peer| target(&format!("s-{n}"), peer.address, "up");
     let short = list(9, true, &[entry(0, &first)]).to_string();
@@ -175,28 +179,29 @@
         format!("{chunked}{}", chunk(&format!("{half}\n"))),
         format!("{chunked}ffff\r\n{short}"),
     ];
-    // On a watch the last one is a whole line, though its chunk never ends.
+    // On a watch the last case is a complete line, although its chunk never ends.
     let on_a_watch = cuts[..cuts.len() - 1].to_vec();
     let changes = format!("{}\n", list(9, false, &[]));
     let watch = format!("{chunked}{}", chunk(&changes));
     let targets = [target("s-0", first.address, "up"), target("s-1", second.address, "up")];
     let good = list(10, true, &targets).to_string();
     std::thread::scope(|scope| {
-        for (cuts, of_whole_lists) in [(on_a_watch, false), (cuts.to_vec(), true)] {
+        for (cuts, on_full_lists) in [(on_a_watch, false), (cuts.to_vec(), true)] {
             let (peers, watch, good) = ([&first, &second], watch.clone(), good.clone());
             scope.spawn(move || {
                 let asked = Arc::new(AtomicUsize::new(0));
                 let discovery = {
                     let (asked, cuts) = (asked.clone(), cuts.clone());
-                    // Closes behind each cut. A new server's watch that begins with changes leaves its whole list owed.
+                    // Closes after each truncated list. When the watch of a new server starts with changes,
+                    // the full list still has to be fetched.
                     Peer::new(move |message| {
-                        if of_whole_lists && message.target().contains("watch") {
+                        if on_full_lists && message.target().contains("watch") {
                             return Do::Write(watch.clone());
                         }
                         let n = asked.fetch_add(1, Ordering::SeqCst);
                         match cuts.get(n) {
                             Some(cut) => Do::WriteAndClose(cut.clone()),
-                            None if of_whole_lists => Do::WriteAndClose(answer("200 OK", "", &good)),
+                            None if on_full_lists => Do::WriteAndClose(answer("200 OK", "", &good)),
                             None => Do::Write(format!("{chunked}{}", chunk(&format!("{good}\n")))),
                         }
                     })
@@ -206,12 +211,13 @@
                 assert_eq!(sidecar.figure("hosts_listed"), 2);
                 config["discovery"] = json!(discovery.address.to_string());
                 sidecar.reload(&config.to_string());
-                wait_for("every cut", || {
-                    assert_eq!(sidecar.figure("hosts_listed"), 2, "the list is unchanged");
+                wait_for("each truncated list", || {
+                    assert_eq!(sidecar.figure("hosts_listed"), 2, "the list changed");
                     asked.load(Ordering::SeqCst) >= cuts.len()
                 });
-                // Four seconds behind the configuration what the new server has counts as notified: a list is needed.
-                wait_for("requests by a list that is whole", || sidecar.ask("book", "r1").status() == 200);
+                // Four seconds after the reload the list of the new server counts as notified: a valid list
+                // is needed.
+                wait_for("requests by a complete list", || sidecar.ask("book", "r1").status() == 200);
                 assert_eq!(sidecar.figure("hosts_listed"), 2);
             });
         }
@@ -219,10 +225,10 @@
 }
 
 #[test]
-fn absurd_entries_are_named_in_the_log_and_lose_no_request() {
+fn implausible_entries_are_logged_and_fail_no_request() {
     let (peer, other) = (Peer::serving("ok"), Peer::serving("ok"));
     let discovery = Discovery::new(list(8, false, &[]));
-    let sidecar = following(&peer, &discovery, "subscribe");
+    let sidecar = start_with_discovery(&peer, &discovery, "subscribe");
     let mut future = target("s-future", other.address, "up");
     future["boot_ms"] = json!(4e15);
     let [first, last] = ["draining", "up"].map(|state| target("s-0", peer.address, state));
--- a/crates/curlewhub/tests/waits/main.rs
+++ b/crates/curlewhub/tests/waits/main.rs
@@ -1,9 +1,9 @@
-//! Tests that wait for most of their time, in one program, so that they wait side by side.
+//! Tests that spend most of their time waiting, built into one program so that they wait in parallel.
 
 #[path = "../support/mod.rs"]
 mod support;
 
+mod invalid_responses;
 mod limits;
 mod list;
-mod rude;
-mod spoilt;
+mod malformed_requests;
--- a/crates/curlewhub/tests/waits/rude.rs
+++ b/crates/curlewhub/tests/waits/malformed_requests.rs
@@ -1,14 +1,14 @@
-//! The built sidecar and clients that keep to no rules.
+//! Runs the built sidecar with clients that violate the protocol.
 
 use super::support::*;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Bad clients are owed an error or a close within this.
-const OWED: Duration = Duration::from_secs(3);
+/// Clients that violate the protocol must get an error or a close within this time.
+const CLOSE_WITHIN: Duration = Duration::from_secs(3);
 
-/// A smuggled request behind an empty chunked body, with these headers before both lengths.
-fn two_framings(first: &str, second: &str) -> String {
+/// A request with these framing headers, and a smuggled request after an empty chunked body.
+fn request_with_hidden_request(first: &str, second: &str) -> String {
     let hidden = request("quote", "hidden", "5000m");
     let head = request("book", "r1", "5000m").replace("Content-Length: 4\r\n", &format!("{first}{second}"));
     let length = format!("{}", hidden.len() + 5);
@@ -16,54 +16,54 @@
 }
 
 #[test]
-fn a_request_framed_in_two_ways_is_refused_and_nothing_behind_it_is_read() {
+fn a_request_with_ambiguous_framing_is_rejected_and_nothing_after_it_is_read() {
     let peer = Peer::serving("ok");
     let sidecar = Sidecar::start(&config(&[&peer]));
     let (length, chunked) = ("Content-Length: LENGTH\r\n", "Transfer-Encoding: chunked\r\n");
     for bad in [
-        two_framings(length, chunked),
-        two_framings(chunked, length),
-        two_framings(chunked, ""),
-        two_framings("Transfer-Encoding: gzip, chunked\r\n", length),
-        two_framings("Content-Length: 4\r\n", "Content-Length: 9\r\n"),
-        two_framings("Content-Length: -4\r\n", ""),
-        two_framings("Content-Length: +4\r\n", ""),
-        two_framings("Content-Length: 99999999999999999999999\r\n", ""),
-        two_framings("Content-Length: 60000000\r\n", ""),
+        request_with_hidden_request(length, chunked),
+        request_with_hidden_request(chunked, length),
+        request_with_hidden_request(chunked, ""),
+        request_with_hidden_request("Transfer-Encoding: gzip, chunked\r\n", length),
+        request_with_hidden_request("Content-Length: 4\r\n", "Content-Length: 9\r\n"),
+        request_with_hidden_request("Content-Length: -4\r\n", ""),
+        request_with_hidden_request("Content-Length: +4\r\n", ""),
+        request_with_hidden_request("Content-Length: 99999999999999999999999\r\n", ""),
+        request_with_hidden_request("Content-Length: 60000000\r\n", ""),
     ] {
         let mut client = sidecar.client();
         client.send(&bad);
-        if let Some(answer) = client.receive() {
-            assert!((400..500).contains(&answer.status()), "{} for {bad}", answer.first_line);
-            assert!(client.receive().is_none(), "nothing more is read there: {bad}");
+        if let Some(response) = client.receive() {
+            assert!((400..500).contains(&response.status()), "{} for {bad}", response.first_line);
+            assert!(client.receive().is_none(), "more was read on the connection: {bad}");
         }
     }
-    assert_eq!(peer.count(), 0, "nothing of it went on");
+    assert_eq!(peer.count(), 0, "a part of it was forwarded");
 }
 
 #[test]
-fn requests_sent_ahead_of_the_answer_are_never_served() {
+fn pipelined_requests_are_never_served() {
     let peer = Peer::new(|_| Do::Silence);
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
     let all: String = (0..300).map(|n| request("quote", &format!("r{n}"), "5000m")).collect();
     client.send(&all);
-    assert!(client.receive().is_none_or(|answer| (400..500).contains(&answer.status())));
-    assert!(client.receive().is_none(), "and closed");
-    assert_eq!(peer.count(), 0, "nothing of it went on");
-    // The same one by one, the first already on its way.
+    assert!(client.receive().is_none_or(|response| (400..500).contains(&response.status())));
+    assert!(client.receive().is_none(), "the connection stays open");
+    assert_eq!(peer.count(), 0, "a part of it was forwarded");
+    // The same with single requests, the first already forwarded.
     let mut client = sidecar.client();
     client.send(&request("quote", "s1", "20000m"));
     wait_for("the attempt", || peer.count() == 1);
     client.send(&request("quote", "s2", "20000m"));
-    assert!(client.receive().is_none_or(|answer| (400..500).contains(&answer.status())));
-    assert!(client.receive().is_none(), "and closed");
-    wait_for("the attempt's end", || peer.closed() == 1);
+    assert!(client.receive().is_none_or(|response| (400..500).contains(&response.status())));
+    assert!(client.receive().is_none(), "the connection stays open");
+    wait_for("the attempt to end", || peer.closed() == 1);
     assert_eq!(peer.count(), 1);
 }
 
 #[test]
-fn the_id_of_an_open_request_is_refused_and_the_first_stays_whole() {
+fn a_request_id_already_in_use_is_rejected_without_effect_on_the_first_request() {
     let peer = Peer::new(|_| Do::Late(Duration::from_millis(800)));
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut first = sidecar.client();
@@ -71,38 +71,38 @@
     wait_for("the attempt", || peer.count() == 1);
     let refused = sidecar.ask("quote", "twice").status();
     assert!((400..500).contains(&refused) && refused != 429, "{refused}");
-    assert_eq!(first.receive().expect("its own answer").status(), 200);
+    assert_eq!(first.receive().expect("a response to the first request").status(), 200);
     assert_eq!(peer.count(), 1);
-    assert_eq!(sidecar.ask("book", "twice").status(), 200, "it is free again");
+    assert_eq!(sidecar.ask("book", "twice").status(), 200, "the ID can be used again");
 }
 
 #[test]
-fn what_does_not_come_whole_in_time_is_closed() {
+fn a_request_that_does_not_arrive_completely_in_time_is_closed() {
     let peer = Peer::serving("ok");
     let sidecar = Sidecar::start(&config(&[&peer]));
     let whole = request("book", "r1", "20000m");
-    for kept in [false, true] {
+    for reused in [false, true] {
         for sent in [0, 1, 30, whole.len() - 6, whole.len() - 2] {
             let mut client = sidecar.client();
-            if kept {
-                // On a connection that was good before.
+            if reused {
+                // On a connection that has already served a request.
                 assert_eq!(client.ask("book", "r0").status(), 200);
             }
-            if kept && sent == 0 {
-                continue; // a good client's idle connection
+            if reused && sent == 0 {
+                continue; // the idle connection of a compliant client
             }
             let start = Instant::now();
             client.send(&whole[..sent]);
-            assert!(client.receive().is_none_or(|answer| (400..500).contains(&answer.status())));
+            assert!(client.receive().is_none_or(|response| (400..500).contains(&response.status())));
             assert!(client.receive().is_none());
             let took = start.elapsed();
-            assert!(took < OWED, "{sent} bytes: closed after {took:?}");
+            assert!(took < CLOSE_WITHIN, "{sent} bytes: closed after {took:?}");
         }
     }
 }
 
 #[test]
-fn clients_that_say_nothing_or_only_ask_for_readiness_take_no_room_from_others() {
+fn silent_clients_and_readiness_checks_take_no_descriptors_from_other_clients() {
     let peer = Peer::serving("ok");
     let mut config = config(&[&peer]);
     config["limits"]["sockets"] = json!(128);
@@ -118,7 +118,7 @@
         others.push(other);
     }
     for n in 0..20 {
-        assert_eq!(sidecar.ask("book", &format!("r{n}")).status(), 200, "in spite of all others");
+        assert_eq!(sidecar.ask("book", &format!("r{n}")).status(), 200, "in spite of the other clients");
     }
     assert!(sidecar.descriptors() <= 128);
 }
