--- a/crates/curlewhub/tests/queued_discovery.rs
+++ b/crates/curlewhub/tests/queued_discovery.rs
@@ -42,7 +42,7 @@
     let recorded = arrivals.clone();
     let peer = Peer::new(move |message| {
         recorded.lock().unwrap().push((message.header("x-request-id").to_owned(), Instant::now()));
-        Do::Serve(body)
+        Action::Serve(body)
     });
     (peer, arrivals)
 }
@@ -107,7 +107,7 @@
     let peers = [&leaving, &staying];
     let configs: Vec<Value> = (0..SIDECARS).map(|n| sidecar_config(n, &peers, &discovery)).collect();
     let sidecars: Vec<Sidecar> = configs.iter().map(Sidecar::start).collect();
-    wait_for("a watch of each sidecar", || discovery.watching() == SIDECARS);
+    wait_for("a watch of each sidecar", || discovery.watching_clients() == SIDECARS);
     let stop = AtomicBool::new(false);
     let (drained, served) = thread::scope(|scope| {
         let stop = &stop;
@@ -127,7 +127,7 @@
             }
         });
         thread::sleep(DRAIN_AFTER);
-        let drained = discovery.change(vec![up("s-1", &staying)]);
+        let drained = discovery.replace_targets(vec![up("s-1", &staying)]);
         let answered = |records: &[Record], client| {
             let mut client_records = records.iter().filter(|record| record.client == client);
             client_records.any(|record| record.event == Event::Written(2))
@@ -165,7 +165,7 @@
     let discovery = QueuedDiscovery::start(targets, Duration::from_millis(50));
     let config = sidecar_config(0, &[&peer], &discovery);
     let sidecar = Sidecar::start(&config);
-    wait_for("the watch", || discovery.watching() == 1);
+    wait_for("the watch", || discovery.watching_clients() == 1);
     let called = |records: &[Record]| {
         records.iter().filter(|record| matches!(record.event, Event::Called(_))).count()
     };
--- a/crates/curlewhub/tests/races/cancelled_attempts.rs
+++ b/crates/curlewhub/tests/races/cancelled_attempts.rs
@@ -24,7 +24,7 @@
 const DISCONNECTS: [Disconnect; 4] =
     [Disconnect::Closes, Disconnect::Resets, Disconnect::HalfCloses, Disconnect::ClosesAfterMoreBytes];
 
-fn disconnect(mut client: Wire, how: Disconnect) -> Option<Wire> {
+fn disconnect(mut client: RawConnection, how: Disconnect) -> Option<RawConnection> {
     match how {
         Disconnect::Closes => drop(client),
         Disconnect::Resets => client.reset(),
@@ -43,7 +43,7 @@
 
 /// A sidecar with debug logs and one endpoint whose connection takes long to establish.
 fn sidecar_connecting_to(slow_endpoint: SocketAddr, change: impl FnOnce(&mut Value)) -> Sidecar {
-    let mut config = operated(&[]);
+    let mut config = config_with_operator(&[]);
     config["known"] = list(7, true, &[target("s-0", slow_endpoint, "up")]);
     config["settings"]["limits"]["connectTimeoutMs"] = json!(8000.0);
     change(&mut config);
@@ -51,10 +51,10 @@
 }
 
 /// A client whose request waits for the connection to its endpoint.
-fn client_waiting_for_connection(sidecar: &Sidecar, class: &str) -> Wire {
-    let mut client = Wire::connect(sidecar.address);
+fn client_waiting_for_connection(sidecar: &Sidecar, class: &str) -> RawConnection {
+    let mut client = RawConnection::connect(sidecar.address);
     client.write(&request(class, "r1", "10000m"));
-    sidecar.says(" class=");
+    sidecar.wait_for_log(" class=");
     client
 }
 
@@ -63,14 +63,14 @@
     std::thread::scope(|scope| {
         for (how, cancelling) in DISCONNECTS.into_iter().flat_map(|how| [(how, true), (how, false)]) {
             scope.spawn(move || {
-                let slow_endpoint = SlowDoor::shut();
+                let slow_endpoint = FullBacklogListener::new();
                 let sidecar = sidecar_connecting_to(slow_endpoint.address, |config| {
                     config["settings"]["limits"]["cancelling"] = json!(cancelling);
                 });
                 let _open = disconnect(client_waiting_for_connection(&sidecar, "quote"), how);
-                wait_for("the disconnect to be noticed", || sidecar.figure("inflight") == 0);
-                let endpoint = slow_endpoint.open();
-                assert!(endpoint.hears_nothing(ATTEMPT_WINDOW), "{how:?}, cancelling {cancelling}");
+                wait_for("the disconnect to be noticed", || sidecar.metric("inflight") == 0);
+                let endpoint = slow_endpoint.start_accepting();
+                assert!(endpoint.receives_no_request(ATTEMPT_WINDOW), "{how:?}, cancelling {cancelling}");
             });
         }
     });
@@ -79,18 +79,18 @@
 #[test]
 fn no_attempt_begins_for_a_client_that_left_while_there_was_no_endpoint() {
     for how in DISCONNECTS {
-        let (discovery, endpoint) = (Stage::new(), Stage::new());
-        let mut config = operated(&[]);
+        let (discovery, endpoint) = (ScriptedListener::new(), ScriptedListener::new());
+        let mut config = config_with_operator(&[]);
         config["discovery"] = json!(discovery.address.to_string());
         config["settings"]["limits"]["cancelling"] = json!(false);
         let sidecar = Sidecar::start_with(&config, "RUST_LOG=debug");
-        let (mut watch, _) = discovery.request();
+        let (mut watch, _) = discovery.accept_request();
         let _open = disconnect(client_waiting_for_connection(&sidecar, "quote"), how);
-        wait_for("the disconnect to be noticed", || sidecar.figure("inflight") == 0);
+        wait_for("the disconnect to be noticed", || sidecar.metric("inflight") == 0);
         watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        watch.chunk(&format!("{}\n", list(8, false, &[target("s-0", endpoint.address, "up")])));
-        wait_for("the endpoint", || sidecar.figure("hosts_listed") == 1);
-        assert!(endpoint.hears_nothing(Duration::from_millis(300)), "{how:?}");
+        watch.write_chunk(&format!("{}\n", list(8, false, &[target("s-0", endpoint.address, "up")])));
+        wait_for("the endpoint", || sidecar.metric("hosts_listed") == 1);
+        assert!(endpoint.receives_no_request(Duration::from_millis(300)), "{how:?}");
     }
 }
 
@@ -114,12 +114,12 @@
         {
             scope.spawn(move || {
                 let (slow_endpoint, other, discovery) =
-                    (SlowDoor::shut(), Peer::serving("ok"), Stage::new());
+                    (FullBacklogListener::new(), Peer::serving("ok"), ScriptedListener::new());
                 let address = slow_endpoint.address;
                 let sidecar = sidecar_connecting_to(address, |config| {
                     config["discovery"] = json!(discovery.address.to_string())
                 });
-                let (mut watch, _) = discovery.request();
+                let (mut watch, _) = discovery.accept_request();
                 watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 let mut client = client_waiting_for_connection(&sidecar, class);
                 let other_entry = target("s-1", other.address, "up");
@@ -130,13 +130,16 @@
                     IsMissing => list(8, true, &[other_entry]),
                     IsBanned => list(8, false, &[other_entry]),
                 };
-                watch.chunk(&format!("{line}\n"));
-                sidecar.says("rev=8 ");
+                watch.write_chunk(&format!("{line}\n"));
+                sidecar.wait_for_log("rev=8 ");
                 if let IsBanned = change_kind {
-                    wait_for("the other endpoint", || sidecar.figure("hosts_listed") == 2);
+                    wait_for("the other endpoint", || sidecar.metric("hosts_listed") == 2);
                     assert_eq!(sidecar.call("DETACH s-0"), "YES\n");
                 }
-                assert!(slow_endpoint.open().hears_nothing(ATTEMPT_WINDOW), "{change_kind:?}, {class}");
+                assert!(
+                    slow_endpoint.start_accepting().receives_no_request(ATTEMPT_WINDOW),
+                    "{change_kind:?}, {class}"
+                );
                 // The request never ran there, so it is retried elsewhere whatever its class.
                 let response = client.read().expect("a response");
                 assert_eq!(
@@ -151,7 +154,7 @@
 
 #[test]
 fn a_retry_of_a_keyed_job_begins_within_its_window_or_not_at_all() {
-    let (first, slow_endpoint) = (Stage::new(), SlowDoor::shut());
+    let (first, slow_endpoint) = (ScriptedListener::new(), FullBacklogListener::new());
     // Two endpoints: whichever is chosen first for a job, one of them breaks the connection during it.
     let sidecar = sidecar_connecting_to(first.address, |config| {
         config["settings"]["classes"][2]["repeatWindowMs"] = json!(400.0);
@@ -163,11 +166,11 @@
     });
     let mut jobs = Vec::new();
     let interrupted = loop {
-        let mut client = Wire::connect(sidecar.address);
+        let mut client = RawConnection::connect(sidecar.address);
         client.write(&request("pay", &format!("j{}", jobs.len()), "9000m"));
         jobs.push(client);
         // A job for the endpoint that is not connected yet waits.
-        if let Some(mut wire) = first.take_within(Duration::from_millis(500)) {
+        if let Some(mut wire) = first.accept_within(Duration::from_millis(500)) {
             assert!(wire.read().is_some());
             break wire;
         }
@@ -177,8 +180,8 @@
     // The retry goes to the other endpoint, whose connection is not established within the window.
     let mut last = jobs.pop().expect("the interrupted job");
     drop(jobs);
-    wait_for("the other disconnects to be noticed", || sidecar.figure("inflight") <= 1);
-    assert!(slow_endpoint.open().hears_nothing(ATTEMPT_WINDOW));
+    wait_for("the other disconnects to be noticed", || sidecar.metric("inflight") <= 1);
+    assert!(slow_endpoint.start_accepting().receives_no_request(ATTEMPT_WINDOW));
     let response = last.read().expect("a response");
     assert!(matches!(response.status(), 502 | 503), "it may not be retried: {}", response.first_line);
 }
@@ -186,21 +189,24 @@
 #[test]
 fn no_attempt_begins_for_a_burst_of_clients_0_1_seconds_after_they_left() {
     for cancelling in [true, false] {
-        let slow_endpoint = SlowDoor::shut();
+        let slow_endpoint = FullBacklogListener::new();
         let sidecar = sidecar_connecting_to(slow_endpoint.address, |config| {
             config["settings"]["limits"]["cancelling"] = json!(cancelling);
         });
         let ask = |n: usize| {
-            let mut client = Wire::connect(sidecar.address);
+            let mut client = RawConnection::connect(sidecar.address);
             client.write(&request("quote", &format!("b{n}"), "10000m"));
             client
         };
-        let clients: Vec<Wire> = (0..100).map(ask).collect();
-        wait_for("all of them to wait", || sidecar.figure("inflight") == 100);
+        let clients: Vec<RawConnection> = (0..100).map(ask).collect();
+        wait_for("all of them to wait", || sidecar.metric("inflight") == 100);
         drop(clients);
         // The operators' limit: an attempt that begins more than 0.1 s after its client left is a
         // violation.
         std::thread::sleep(Duration::from_millis(100));
-        assert!(slow_endpoint.open().hears_nothing(ATTEMPT_WINDOW), "cancelling {cancelling}");
+        assert!(
+            slow_endpoint.start_accepting().receives_no_request(ATTEMPT_WINDOW),
+            "cancelling {cancelling}"
+        );
     }
 }
--- a/crates/curlewhub/tests/races/discovery.rs
+++ b/crates/curlewhub/tests/races/discovery.rs
@@ -13,8 +13,8 @@
 const NOTIFIED_WITHIN: Duration = Duration::from_millis(6000);
 
 /// Starts a sidecar with one endpoint and with the test as its discovery server.
-fn start_with_discovery(discovery: &Stage, peer: &Peer, mode: &str) -> (Sidecar, Value) {
-    let mut config = operated(&[peer]);
+fn start_with_discovery(discovery: &ScriptedListener, peer: &Peer, mode: &str) -> (Sidecar, Value) {
+    let mut config = config_with_operator(&[peer]);
     config["discovery"] = json!(discovery.address.to_string());
     config["settings"]["discovery"] = json!(mode);
     (Sidecar::start(&config), config)
@@ -26,16 +26,16 @@
 
 /// Answers the next call, for a watch or for a full list, with `line`, and returns the time of the
 /// response.
-fn answer_next_call(discovery: &Stage, line: &str) -> Instant {
-    let (wire, call) = discovery.request();
+fn answer_next_call(discovery: &ScriptedListener, line: &str) -> Instant {
+    let (wire, call) = discovery.accept_request();
     answer_with(wire, &call, line)
 }
 
 /// Answers a call with `line`, and returns the time of the response.
-fn answer_with(mut wire: Wire, call: &Message, line: &str) -> Instant {
+fn answer_with(mut wire: RawConnection, call: &Message, line: &str) -> Instant {
     if call.target().contains("watch") {
         wire.write(CHUNKED);
-        wire.chunk(&format!("{line}\n"));
+        wire.write_chunk(&format!("{line}\n"));
     } else {
         wire.write(&answer("200 OK", "", line));
     }
@@ -45,20 +45,20 @@
 
 /// Waits until the sidecar logs that the endpoint leaves, and checks that it sends nothing there.
 fn assert_drain_applied(sidecar: &Sidecar) {
-    sidecar.says("endpoint leaves");
+    sidecar.wait_for_log("endpoint leaves");
     let mut client = sidecar.client();
     client.send(&request("quote", "q", "300m"));
     assert_ne!(client.receive().expect("a response").status(), 200);
 }
 
 /// Checks that after each failure the next call begins early enough to take its full 3.2 s.
-fn check_next_call_in_time(mode: &str, mut fail: impl FnMut(&Stage)) {
-    let (discovery, peer) = (Stage::new(), Peer::serving("ok"));
+fn check_next_call_in_time(mode: &str, mut fail: impl FnMut(&ScriptedListener)) {
+    let (discovery, peer) = (ScriptedListener::new(), Peer::serving("ok"));
     let (sidecar, _) = start_with_discovery(&discovery, &peer, mode);
     for failure in 0..3 {
         fail(&discovery);
         let from = Instant::now();
-        let next = discovery.take();
+        let next = discovery.accept();
         let waited = from.elapsed();
         assert!(
             waited < NOTIFIED_WITHIN - Duration::from_millis(3200),
@@ -74,10 +74,10 @@
 fn the_next_call_after_a_reset_or_closed_one_is_made_in_time() {
     for mode in ["automatic", "subscribe"] {
         std::thread::scope(|scope| {
-            scope.spawn(|| check_next_call_in_time(mode, |discovery| discovery.take().reset()));
+            scope.spawn(|| check_next_call_in_time(mode, |discovery| discovery.accept().reset()));
             scope.spawn(|| {
                 check_next_call_in_time(mode, |discovery| {
-                    let (mut wire, _) = discovery.request();
+                    let (mut wire, _) = discovery.accept_request();
                     wire.write(CHUNKED);
                 });
             });
@@ -98,11 +98,11 @@
     std::thread::scope(|scope| {
         for (mode, delay) in cases {
             scope.spawn(move || {
-                let (discovery, peer) = (Stage::new(), Peer::serving("ok"));
+                let (discovery, peer) = (ScriptedListener::new(), Peer::serving("ok"));
                 let (sidecar, _) = start_with_discovery(&discovery, &peer, mode);
                 let started = Instant::now();
                 let refuse = || {
-                    let (mut wire, _) = discovery.request();
+                    let (mut wire, _) = discovery.accept_request();
                     let called = Instant::now();
                     std::thread::sleep(delay);
                     wire.write(&answer("503 Service Unavailable", "", ""));
@@ -120,7 +120,7 @@
                 // After a third refusal calls are spread over up to 9 s, and over twice that if discovery
                 // refuses at once, which shows that it is running. discovery_load in the model shows what a
                 // whole fleet's calls at the former rate cost it.
-                let (wire, call) = discovery.request();
+                let (wire, call) = discovery.accept_request();
                 let longest = Duration::from_secs(if delay.is_zero() { 18 } else { 9 });
                 assert!(third.elapsed() < longest + TOLERANCE, "{mode}, {delay:?}: {:?}", third.elapsed());
                 if delay.is_zero() && started.elapsed() > NOTIFIED_WITHIN + TOLERANCE {
@@ -137,14 +137,14 @@
 }
 
 /// Returns the time until the next call, while `continue_previous` repeatedly acts on the previous one.
-fn time_until_next_call(discovery: &Stage, mut continue_previous: impl FnMut()) -> Duration {
+fn time_until_next_call(discovery: &ScriptedListener, mut continue_previous: impl FnMut()) -> Duration {
     let from = Instant::now();
     loop {
-        if let Some(next) = discovery.take_within(Duration::from_millis(50)) {
+        if let Some(next) = discovery.accept_within(Duration::from_millis(50)) {
             next.reset();
             return from.elapsed();
         }
-        assert!(from.elapsed() < PATIENCE, "no further call was made");
+        assert!(from.elapsed() < WAIT_TIMEOUT, "no further call was made");
         continue_previous();
     }
 }
@@ -158,16 +158,16 @@
     std::thread::scope(|scope| {
         for (mode, trickling) in cases {
             scope.spawn(move || {
-                let (discovery, peer) = (Stage::new(), Peer::serving("ok"));
+                let (discovery, peer) = (ScriptedListener::new(), Peer::serving("ok"));
                 let (sidecar, _) = start_with_discovery(&discovery, &peer, mode);
-                let (mut wire, _) = discovery.request();
+                let (mut wire, _) = discovery.accept_request();
                 let line = list(9, true, &[target("s-0", peer.address, "up")]).to_string();
                 let mut bytes = line.chars();
                 wire.write(CHUNKED);
                 // One byte every 50 ms: the whole line would take eight seconds.
                 let waited = time_until_next_call(&discovery, || {
                     if trickling && let Some(byte) = bytes.next() {
-                        wire.chunk(&byte.to_string());
+                        wire.write_chunk(&byte.to_string());
                     }
                 });
                 let limit = Duration::from_millis(3200 + 1500);
@@ -196,19 +196,21 @@
             [Silent, SilentWithinALine, Trickling, Whitespace].map(|failure| (mode, failure))
         }) {
             scope.spawn(move || {
-                let (discovery, peer) = (Stage::new(), Peer::serving("ok"));
+                let (discovery, peer) = (ScriptedListener::new(), Peer::serving("ok"));
                 let (sidecar, _) = start_with_discovery(&discovery, &peer, mode);
-                let (mut wire, _) = discovery.request();
+                let (mut wire, _) = discovery.accept_request();
                 wire.write(CHUNKED);
-                wire.chunk(&format!("{}\n", list(8, false, &[])));
+                wire.write_chunk(&format!("{}\n", list(8, false, &[])));
                 let line = drain_line(9, &peer).replace("draining", "up");
                 let mut bytes = line.chars();
                 if failure == SilentWithinALine {
-                    wire.chunk(&line[..line.len() - 9]);
+                    wire.write_chunk(&line[..line.len() - 9]);
                 }
                 let waited = time_until_next_call(&discovery, || match failure {
-                    Trickling => bytes.next().into_iter().for_each(|byte| wire.chunk(&byte.to_string())),
-                    Whitespace => wire.chunk(" "),
+                    Trickling => {
+                        bytes.next().into_iter().for_each(|byte| wire.write_chunk(&byte.to_string()))
+                    }
+                    Whitespace => wire.write_chunk(" "),
                     Silent | SilentWithinALine => {}
                 });
                 assert!(
@@ -224,58 +226,59 @@
 
 #[test]
 fn a_drain_in_a_trickling_line_is_applied_before_the_line_ends() {
-    let (discovery, peer, other) = (Stage::new(), Peer::serving("old"), Peer::serving("new"));
+    let (discovery, peer, other) = (ScriptedListener::new(), Peer::serving("old"), Peer::serving("new"));
     let (sidecar, _) = start_with_discovery(&discovery, &peer, "automatic");
-    let (mut wire, _) = discovery.request();
+    let (mut wire, _) = discovery.accept_request();
     wire.write(CHUNKED);
-    wire.chunk(&format!("{}\n", list(8, false, &[target("s-1", other.address, "up")])));
-    wait_for("the other endpoint", || sidecar.figure("hosts_listed") == 2);
+    wire.write_chunk(&format!("{}\n", list(8, false, &[target("s-1", other.address, "up")])));
+    wait_for("the other endpoint", || sidecar.metric("hosts_listed") == 2);
     let changes = [target("s-0", peer.address, "draining"), target("s-2", other.address, "up")];
     let line = list(9, false, &changes).to_string();
     let cut = line.find('}').unwrap() + 2;
-    wire.chunk(&line[..cut]);
+    wire.write_chunk(&line[..cut]);
     let mut bytes = line[cut..line.len() - 1].chars();
     // Bytes keep arriving, faster than any pause that the sidecar would notice.
     let applied = |sidecar: &Sidecar| sidecar.log().contains("list that broke off");
     wait_for("the drain, before the end of the line", || {
-        wire.chunk(&bytes.next().expect("before its end").to_string());
+        wire.write_chunk(&bytes.next().expect("before its end").to_string());
         applied(&sidecar)
     });
-    assert!((0..10).all(|n| sidecar.ask("book", &format!("r{n}")).body == b"new"));
+    assert!((0..10).all(|n| sidecar.send_request("book", &format!("r{n}")).body == b"new"));
 }
 
 #[test]
 fn indented_lists_are_accepted_in_responses_and_on_watches() {
     for mode in ["automatic", "subscribe"] {
-        let (discovery, peer, other) = (Stage::new(), Peer::serving("old"), Peer::serving("new"));
+        let (discovery, peer, other) =
+            (ScriptedListener::new(), Peer::serving("old"), Peer::serving("new"));
         let (sidecar, mut config) = start_with_discovery(&discovery, &peer, mode);
         let indented = |value: &Value| serde_json::to_string_pretty(value).unwrap();
-        let (mut wire, _) = discovery.request();
+        let (mut wire, _) = discovery.accept_request();
         wire.write(CHUNKED);
         let first = indented(&list(8, false, &[target("s-1", other.address, "up")]));
         // One list in two pieces, split within a line, then two lists in one piece.
         let (first_half, second_half) = first.split_at(first.len() / 2);
-        wire.chunk(first_half);
-        wire.chunk(&format!("{second_half}\n"));
-        wait_for("the list", || sidecar.figure("hosts_listed") == 2);
+        wire.write_chunk(first_half);
+        wire.write_chunk(&format!("{second_half}\n"));
+        wait_for("the list", || sidecar.metric("hosts_listed") == 2);
         let drain = indented(&list(9, false, &[target("s-0", peer.address, "draining")]));
         let again = indented(&list(10, false, &[target("s-2", other.address, "up")]));
-        wire.chunk(&format!("{drain}\n\n{again}\n"));
-        wait_for("both lists", || sidecar.figure("hosts_listed") == 3);
-        assert!((0..10).all(|n| sidecar.ask("book", &format!("r{n}")).body == b"new"));
+        wire.write_chunk(&format!("{drain}\n\n{again}\n"));
+        wait_for("both lists", || sidecar.metric("hosts_listed") == 3);
+        assert!((0..10).all(|n| sidecar.send_request("book", &format!("r{n}")).body == b"new"));
         // A new discovery address is asked for its full list first.
-        let moved = Stage::new();
+        let moved = ScriptedListener::new();
         config["discovery"] = json!(moved.address.to_string());
         sidecar.reload(&config.to_string());
         answer_next_call(&moved, &indented(&list(2, true, &[target("s-1", other.address, "up")])));
-        wait_for("the whole list", || sidecar.figure("hosts_listed") == 1);
+        wait_for("the whole list", || sidecar.metric("hosts_listed") == 1);
         // Changes from the old address are ignored from now on.
-        wire.chunk(&format!("{}\n", list(11, false, &[target("s-9", peer.address, "up")])));
-        let (mut next, call) = moved.request();
+        wire.write_chunk(&format!("{}\n", list(11, false, &[target("s-9", peer.address, "up")])));
+        let (mut next, call) = moved.accept_request();
         assert_eq!(call.target(), "/api/targets?watch=1&after=2");
         next.write(CHUNKED);
-        next.chunk(&format!("{}\n", list(3, false, &[target("s-3", other.address, "up")])));
-        wait_for("the change from the new address", || sidecar.figure("hosts_listed") == 2);
+        next.write_chunk(&format!("{}\n", list(3, false, &[target("s-3", other.address, "up")])));
+        wait_for("the change from the new address", || sidecar.metric("hosts_listed") == 2);
     }
 }
 
@@ -294,10 +297,10 @@
 }
 
 /// Establishes the sidecar's watch with no changes on it.
-fn open_watch(discovery: &Stage) -> Wire {
-    let (mut watch, _) = discovery.request();
+fn open_watch(discovery: &ScriptedListener) -> RawConnection {
+    let (mut watch, _) = discovery.accept_request();
     watch.write(CHUNKED);
-    watch.chunk(&format!("{}\n", list(8, false, &[])));
+    watch.write_chunk(&format!("{}\n", list(8, false, &[])));
     watch
 }
 
@@ -307,7 +310,7 @@
     let recorded = arrivals.clone();
     let peer = Peer::new(move |_| {
         recorded.lock().unwrap().push(Instant::now());
-        Do::Serve("ok")
+        Action::Serve("ok")
     });
     (peer, arrivals)
 }
@@ -325,8 +328,8 @@
     std::thread::scope(|scope| {
         for (mode, notified_after) in cases {
             scope.spawn(move || {
-                let (discovery, (peer, arrivals)) = (Stage::new(), recording_peer());
-                let mut config = operated(&[&peer]);
+                let (discovery, (peer, arrivals)) = (ScriptedListener::new(), recording_peer());
+                let mut config = config_with_operator(&[&peer]);
                 config["discovery"] = json!(discovery.address.to_string());
                 config["settings"]["discovery"] = json!(mode);
                 config["settings"]["rules"]["drainGraceMs"] = json!(grace.as_millis() as f64);
@@ -339,11 +342,11 @@
                     wait_for("requests", || arrivals.lock().unwrap().len() > 20);
                     let ended = Instant::now();
                     watch.half_close();
-                    let (mut next, _) = discovery.request();
+                    let (mut next, _) = discovery.accept_request();
                     std::thread::sleep(notified_after + Duration::from_millis(1000));
                     let answered = Instant::now();
                     next.write(CHUNKED);
-                    next.chunk(&format!("{}\n", list(9, false, &[])));
+                    next.write_chunk(&format!("{}\n", list(9, false, &[])));
                     wait_for("requests again", || {
                         arrivals.lock().unwrap().last().is_some_and(|at| *at > answered)
                     });
@@ -369,7 +372,7 @@
     std::thread::scope(|scope| {
         for mode in ["subscribe", "automatic"] {
             scope.spawn(move || {
-                let (discovery, (peer, arrivals)) = (Stage::new(), recording_peer());
+                let (discovery, (peer, arrivals)) = (ScriptedListener::new(), recording_peer());
                 let (sidecar, _) = start_with_discovery(&discovery, &peer, mode);
                 let watch = open_watch(&discovery);
                 let stop = AtomicBool::new(false);
@@ -377,7 +380,7 @@
                     scope.spawn(|| send_until_stopped(&sidecar, &stop));
                     wait_for("requests", || arrivals.lock().unwrap().len() > 5);
                     watch.reset();
-                    let (mut call, _) = discovery.request();
+                    let (mut call, _) = discovery.accept_request();
                     std::thread::sleep(Duration::from_millis(2900));
                     call.write(&answer("503 Service Unavailable", "", ""));
                     // The next call is left without a response.
@@ -409,9 +412,9 @@
 }
 
 /// Refuses each discovery call at once until `stop` is set.
-fn refuse_calls(discovery: &Stage, stop: &AtomicBool) {
+fn refuse_calls(discovery: &ScriptedListener, stop: &AtomicBool) {
     while !stop.load(Ordering::SeqCst) {
-        let Some(mut wire) = discovery.take_within(Duration::from_millis(20)) else { continue };
+        let Some(mut wire) = discovery.accept_within(Duration::from_millis(20)) else { continue };
         if wire.read().is_some() {
             wire.write(&answer("503 Service Unavailable", "", ""));
         }
@@ -422,8 +425,8 @@
 #[test]
 fn a_process_whose_discovery_calls_are_refused_from_its_start_sends_nothing_after_6_seconds() {
     let grace = Duration::from_millis(250);
-    let (discovery, (peer, arrivals)) = (Stage::new(), recording_peer());
-    let mut config = operated(&[&peer]);
+    let (discovery, (peer, arrivals)) = (ScriptedListener::new(), recording_peer());
+    let mut config = config_with_operator(&[&peer]);
     config["discovery"] = json!(discovery.address.to_string());
     config["settings"]["discovery"] = json!("subscribe");
     config["settings"]["rules"]["drainGraceMs"] = json!(grace.as_millis() as f64);
--- a/crates/curlewhub/tests/races/limits.rs
+++ b/crates/curlewhub/tests/races/limits.rs
@@ -10,9 +10,9 @@
 #[test]
 fn idle_clients_that_use_all_descriptors_block_neither_operators_nor_new_clients_nor_discovery() {
     let (peer, new) = (Peer::serving("old"), Peer::serving("new"));
-    let mut config = operated(&[&peer]);
+    let mut config = config_with_operator(&[&peer]);
     config["limits"]["sockets"] = json!(128);
-    let discovery_address = nowhere();
+    let discovery_address = unused_address();
     config["discovery"] = json!(discovery_address.to_string());
     config["settings"]["discovery"] = json!("automatic");
     // The kernel enforces the same limit.
@@ -20,7 +20,7 @@
     // Half of the clients have been served and stay idle, the others have sent nothing; none disconnects.
     let mut idle = Vec::new();
     for n in 0..120 {
-        let mut wire = Wire::connect(sidecar.address);
+        let mut wire = RawConnection::connect(sidecar.address);
         if n % 2 == 0 {
             wire.write(&request("quote", &format!("i{n}"), "9000m"));
             wire.read().expect("a response, served or rejected");
@@ -30,13 +30,13 @@
     assert!(sidecar.descriptors() <= 128);
     // Operators, new clients and discovery, once it is back, get descriptors.
     assert_eq!(sidecar.call("PING"), "YES\n");
-    wait_for("a new client to be served", || sidecar.ask("quote", "n").status() == 200);
-    let before = sidecar.ticks();
+    wait_for("a new client to be served", || sidecar.send_request("quote", "n").status() == 200);
+    let before = sidecar.cpu_ticks();
     std::thread::sleep(Duration::from_secs(1));
-    assert!(sidecar.ticks() - before < 50, "the sidecar spins");
+    assert!(sidecar.cpu_ticks() - before < 50, "the sidecar spins");
     let back = Instant::now();
     let discovery = Discovery::at(discovery_address, list(8, true, &[target("s-new", new.address, "up")]));
-    wait_for("the new list", || sidecar.ask("quote", "m").body == b"new");
+    wait_for("the new list", || sidecar.send_request("quote", "m").body == b"new");
     assert!(
         back.elapsed() < Duration::from_secs(8),
         "the notification limit plus a margin for a slow machine"
@@ -47,7 +47,7 @@
 
 #[test]
 fn no_request_is_lost_when_connections_are_closed_to_free_descriptors() {
-    let peer = Peer::new(|_| Do::Late(Duration::from_millis(5)));
+    let peer = Peer::new(|_| Action::ServeAfter(Duration::from_millis(5)));
     let mut config = config(&[&peer]);
     config["limits"]["sockets"] = json!(96);
     let sidecar = Sidecar::start(&config);
@@ -61,7 +61,7 @@
         silent.len()
     });
     for n in 0..40 {
-        let mut wire = Wire::connect(sidecar.address);
+        let mut wire = RawConnection::connect(sidecar.address);
         let mut turn = 0;
         // A first request may cross the close of a connection that was silent until then: its client
         // retries. After the first response, only a response with `connection: close` may be the last.
@@ -85,11 +85,12 @@
 
 #[test]
 fn a_request_flood_at_the_start_of_a_drain_delays_neither_the_drain_nor_valid_clients() {
-    let peer = Peer::new(|_| Do::Late(Duration::from_millis(50)));
+    let peer = Peer::new(|_| Action::ServeAfter(Duration::from_millis(50)));
     let mut sidecar = Sidecar::start(&config(&[&peer]));
     let many: String = (0..300).map(|n| request("quote", &format!("f{n}"), "9000m")).collect();
-    let mut valid: Vec<Wire> = (0..5).map(|_| Wire::connect(sidecar.address)).collect();
-    let mut invalid: Vec<Wire> = (0..40).map(|_| Wire::connect(sidecar.address)).collect();
+    let mut valid: Vec<RawConnection> = (0..5).map(|_| RawConnection::connect(sidecar.address)).collect();
+    let mut invalid: Vec<RawConnection> =
+        (0..40).map(|_| RawConnection::connect(sidecar.address)).collect();
     for (n, wire) in valid.iter_mut().enumerate() {
         wire.write(&request("book", &format!("g{n}"), "9000m"));
     }
@@ -109,10 +110,10 @@
     }
     let start = Instant::now();
     for wire in &mut invalid {
-        let (_, end) = wire.rest(Duration::from_secs(6));
+        let (_, end) = wire.read_until_end(Duration::from_secs(6));
         assert_ne!(end, End::Open, "neither an error nor a close");
     }
-    assert!(sidecar.ended().success());
+    assert!(sidecar.wait_for_exit().success());
     assert!(start.elapsed() < Duration::from_secs(10));
 }
 
@@ -128,7 +129,7 @@
 fn nine_in_ten_of_thirty_restarted_processes_are_ready_within_ten_seconds() {
     for state in [DiscoveryState::Silent, DiscoveryState::Refusing, DiscoveryState::DownAtFirst] {
         let peer = Peer::serving("ok");
-        let down = nowhere();
+        let down = unused_address();
         // Accepts calls without responding, refuses connections, or starts later.
         let silent = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = match state {
@@ -162,6 +163,6 @@
         });
         let in_time = up.iter().filter(|(_, took)| *took < Duration::from_secs(10)).count();
         assert!(in_time >= 27, "{state:?}: {in_time} of 30 within 10 s");
-        assert!(up.iter().all(|(sidecar, _)| sidecar.ask("quote", "r").status() == 200));
+        assert!(up.iter().all(|(sidecar, _)| sidecar.send_request("quote", "r").status() == 200));
     }
 }
--- a/crates/curlewhub/tests/races/settings.rs
+++ b/crates/curlewhub/tests/races/settings.rs
@@ -9,7 +9,7 @@
 /// Settings in the form in which the platform supplies them for the deployments in deploy/sites/, with
 /// these classes, tenants and zones.
 fn settings(classes: Value, tenants: Value, zones: Value, change: impl FnOnce(&mut Value)) -> Value {
-    let mut config = operated(&[]);
+    let mut config = config_with_operator(&[]);
     let settings = &mut config["settings"];
     settings["classes"] = classes;
     settings["tenants"] = tenants;
@@ -74,7 +74,7 @@
 }
 
 fn response_to(sidecar: &Sidecar, text: &str) -> Message {
-    let mut wire = Wire::connect(sidecar.address);
+    let mut wire = RawConnection::connect(sidecar.address);
     wire.write(text);
     wire.read().expect("a response")
 }
@@ -134,9 +134,9 @@
 #[test]
 fn an_unsafe_request_is_retried_only_if_it_certainly_never_ran() {
     // What the first endpoint does, and whether the request may be retried at another.
-    type Case = (&'static str, fn(Wire), bool);
+    type Case = (&'static str, fn(RawConnection), bool);
     let cases: [Case; 4] = [
-        ("written completely, then reset", Wire::reset, false),
+        ("written completely, then reset", RawConnection::reset, false),
         (
             "returned unprocessed",
             |mut wire| wire.write(&answer("503 No", "X-Not-Processed: 1\r\n", "")),
@@ -146,21 +146,21 @@
         ("a 503 that does not say so", |mut wire| wire.write(&answer("503 No", "", "")), false),
     ];
     for (what, end, retried) in cases {
-        let (listener, mut config) = (Stage::new(), ticket_desk());
+        let (listener, mut config) = (ScriptedListener::new(), ticket_desk());
         // The only endpoint at first, so that it gets the request; the other is announced during the
         // attempt.
-        let (discovery, other) = (Stage::new(), Peer::serving("ok"));
+        let (discovery, other) = (ScriptedListener::new(), Peer::serving("ok"));
         set_known_endpoints(&mut config, &[listener.address]);
         config["discovery"] = json!(discovery.address.to_string());
         let sidecar = Sidecar::start(&config);
-        let (mut watch, _) = discovery.request();
+        let (mut watch, _) = discovery.accept_request();
         watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        let mut client = Wire::connect(sidecar.address);
+        let mut client = RawConnection::connect(sidecar.address);
         client.write(&request_text("card-charge", "teatro-sol", "r1", false, true));
         // The attempt is at the first endpoint before there is another.
-        let (wire, _) = listener.request();
-        watch.chunk(&format!("{}\n", list(8, false, &[target("s-1", other.address, "up")])));
-        wait_for("the other endpoint", || sidecar.figure("hosts_listed") == 2);
+        let (wire, _) = listener.accept_request();
+        watch.write_chunk(&format!("{}\n", list(8, false, &[target("s-1", other.address, "up")])));
+        wait_for("the other endpoint", || sidecar.metric("hosts_listed") == 2);
         end(wire);
         let status = client.read().expect("a response").status();
         assert_eq!(status == 200, retried, "{what}: {status}");
@@ -168,7 +168,7 @@
             retried || !matches!(status, 429 | 503),
             "{what}: this status would claim that the request never ran"
         );
-        assert_eq!(other.count(), usize::from(retried), "{what}");
+        assert_eq!(other.request_count(), usize::from(retried), "{what}");
     }
 }
 
@@ -178,14 +178,15 @@
         let mut config = tide_board();
         config["settings"]["limits"]["maxAttempts"] = json!(max_attempts);
         config["settings"]["limits"]["secondCopies"] = json!(false);
-        let peers: Vec<Peer> = (0..6).map(|_| Peer::new(|_| Do::Write(answer("500 No", "", "")))).collect();
+        let peers: Vec<Peer> =
+            (0..6).map(|_| Peer::new(|_| Action::Write(answer("500 No", "", "")))).collect();
         let addresses: Vec<_> = peers.iter().map(|peer| peer.address).collect();
         set_known_endpoints(&mut config, &addresses);
         let sidecar = Sidecar::start(&config);
         let status =
             response_to(&sidecar, &request_text("level-read", "ferry-line", "r1", false, false)).status();
         assert_ne!(status, 200);
-        let made: usize = peers.iter().map(Peer::count).sum();
+        let made: usize = peers.iter().map(Peer::request_count).sum();
         assert!((1..=max_attempts).contains(&made), "{made} of {max_attempts}");
     }
 }
@@ -233,7 +234,7 @@
             };
         }
         *at = value.clone();
-        let (status, said) = refuses_soon(&config.to_string());
+        let (status, said) = run_for_5s(&config.to_string());
         let clear = status.code() == Some(2) && said.contains(field) && !said.contains("panicked");
         if !clear || said.lines().filter(|line| line.contains(field)).count() != 1 {
             unclear_errors.push(format!("{field} = {value}: {status}, {said}"));
@@ -242,18 +243,18 @@
     assert!(unclear_errors.is_empty(), "{unclear_errors:#?}");
     let whole = ticket_desk().to_string();
     for cut in [0, 1, whole.len() / 2, whole.len() - 1] {
-        let (status, said) = refuses_soon(&whole[..cut]);
+        let (status, said) = run_for_5s(&whole[..cut]);
         assert!(status.code() == Some(2) && !said.contains("panicked"), "{cut}: {said}");
     }
 }
 
 #[test]
 fn a_connect_attempt_fails_after_the_configured_timeout() {
-    let (slow_endpoint, mut config) = (SlowDoor::shut(), ticket_desk());
+    let (slow_endpoint, mut config) = (FullBacklogListener::new(), ticket_desk());
     set_known_endpoints(&mut config, &[slow_endpoint.address]);
     config["settings"]["limits"]["maxAttempts"] = json!(1);
     let sidecar = Sidecar::start(&config);
-    let mut client = Wire::connect(sidecar.address);
+    let mut client = RawConnection::connect(sidecar.address);
     client.write(&request_text("card-charge", "teatro-sol", "r1", false, true));
     // The settings allow 300 ms to connect: the request is rejected, as it never ran, well before its
     // timeout.
--- a/crates/curlewhub/tests/reset.rs
+++ b/crates/curlewhub/tests/reset.rs
@@ -57,13 +57,13 @@
             thread::spawn(move || serve_after_one_cut(stream, &seen));
         }
     });
-    let sidecar = Sidecar::start(&config_at(&[address]));
+    let sidecar = Sidecar::start(&config_for_addresses(&[address]));
     let mut number = 0;
     // On a slow machine the last byte may already be in flight when the connection closes.
     wait_for("a request that is cut off and then served", || {
         number += 1;
         let id = format!("r{number}");
-        let served = sidecar.ask("book", &id).status() == 200;
+        let served = sidecar.send_request("book", &id).status() == 200;
         served && seen.lock().unwrap()[&id] == (1, 1)
     });
     assert!(
--- a/crates/curlewhub/tests/shutdown.rs
+++ b/crates/curlewhub/tests/shutdown.rs
@@ -34,7 +34,7 @@
 
 impl Scenario {
     fn config(&self, peers: &[&Peer]) -> (Value, Discovery) {
-        let mut config = operated(peers);
+        let mut config = config_with_operator(peers);
         let entry = |(n, peer): (usize, &&Peer)| target(&format!("s-{n}"), peer.address, "up");
         let entries: Vec<Value> = peers.iter().enumerate().map(entry).collect();
         let discovery = Discovery::new(list(8, true, &entries));
@@ -58,19 +58,20 @@
 
     /// Runs the shutdown and returns one line for each lost request.
     fn run(self) -> Vec<String> {
-        let hanging = Peer::new(|_| Do::Silence);
-        let other = if self.all_endpoints_hang { Peer::new(|_| Do::Silence) } else { Peer::serving("ok") };
+        let hanging = Peer::new(|_| Action::NeverAnswer);
+        let other =
+            if self.all_endpoints_hang { Peer::new(|_| Action::NeverAnswer) } else { Peer::serving("ok") };
         let (config, _discovery) = self.config(&[&hanging, &other]);
         let mut old = Sidecar::start(&config);
         let next = self.has_successor.then(|| {
             let next = old.successor(&config);
             wait_for("the successor to be ready", || next.call("PING") == "YES\n");
-            old.says("a successor has come");
+            old.wait_for_log("a successor has come");
             next
         });
         let idle = self.idle_clients(old.address);
-        let busy: Vec<Wire> = (0..8).map(|_| Wire::connect(old.address)).collect();
-        let slow: Vec<Wire> = (0..4).map(|_| Wire::connect(old.address)).collect();
+        let busy: Vec<RawConnection> = (0..8).map(|_| RawConnection::connect(old.address)).collect();
+        let slow: Vec<RawConnection> = (0..4).map(|_| RawConnection::connect(old.address)).collect();
         let started = Instant::now();
         // The old process accepts all open connections before it gets the signal.
         wait_for("the clients to be accepted", || started.elapsed() > Duration::from_millis(100));
@@ -97,8 +98,9 @@
     }
 
     /// Connects clients whose first requests get any response and whose connections stay open.
-    fn idle_clients(&self, address: SocketAddr) -> Vec<Wire> {
-        let mut all: Vec<Wire> = (0..IDLE_CLIENTS).map(|_| Wire::connect(address)).collect();
+    fn idle_clients(&self, address: SocketAddr) -> Vec<RawConnection> {
+        let mut all: Vec<RawConnection> =
+            (0..IDLE_CLIENTS).map(|_| RawConnection::connect(address)).collect();
         for (n, wire) in all.iter_mut().enumerate() {
             wire.write(&request("quote", &format!("rest{n}"), &self.timeout()));
         }
@@ -109,7 +111,7 @@
     }
 
     /// Sends one request. Returns whether the connection stays open, or an error if the request was lost.
-    fn send_one(&self, wire: &mut Wire, id: &str) -> Result<bool, String> {
+    fn send_one(&self, wire: &mut RawConnection, id: &str) -> Result<bool, String> {
         let at = Instant::now();
         if !wire.try_write(&request("quote", id, &self.timeout())) {
             return Ok(false);
@@ -122,7 +124,7 @@
     }
 
     /// Sends one request after another while the connection stays open.
-    fn send_continuously(&self, mut wire: Wire, n: usize, term: Instant) -> Vec<String> {
+    fn send_continuously(&self, mut wire: RawConnection, n: usize, term: Instant) -> Vec<String> {
         let mut number = 0;
         while term.elapsed() < self.time_to_kill() && !wire.has_ended() {
             number += 1;
@@ -136,7 +138,7 @@
     }
 
     /// Stays idle and sends one request, at a time between SIGTERM and SIGKILL that depends on `n`.
-    fn send_late(&self, mut wire: Wire, n: usize, term: Instant) -> Vec<String> {
+    fn send_late(&self, mut wire: RawConnection, n: usize, term: Instant) -> Vec<String> {
         let at = self.time_to_kill().mul_f64((n + 1) as f64 / (IDLE_CLIENTS + 1) as f64);
         thread::sleep((term + at).saturating_duration_since(Instant::now()));
         if wire.has_ended() {
@@ -147,7 +149,7 @@
     }
 
     /// Writes a body as slowly as a compliant client may, and its last byte shortly before SIGKILL.
-    fn finish_body_late(&self, mut wire: Wire, n: usize, term: Instant) -> Vec<String> {
+    fn finish_body_late(&self, mut wire: RawConnection, n: usize, term: Instant) -> Vec<String> {
         const PIECE: usize = 4_000;
         const PAUSE: Duration = Duration::from_millis(50);
         let end = self.time_to_kill() - FINAL_WINDOW + Duration::from_millis(20 * n as u64);
@@ -162,7 +164,7 @@
             let next = end.mul_f64((piece + 1) as f64 / pieces as f64);
             thread::sleep((term + next).saturating_duration_since(Instant::now()));
         }
-        if wire.has_ended() || wire.has_more(Duration::from_millis(1)) {
+        if wire.has_ended() || wire.has_unread(Duration::from_millis(1)) {
             return Vec::new();
         }
         let whole = wire.try_write("x");
@@ -214,26 +216,26 @@
 
 #[test]
 fn a_response_without_a_length_that_shutdown_truncates_ends_with_a_reset() {
-    let listener = Stage::new();
+    let listener = ScriptedListener::new();
     let scenario =
         Scenario { deadline: Duration::from_millis(500), has_successor: false, all_endpoints_hang: true };
     let peer = Peer::serving("unused");
     let (mut config, _) = scenario.config(&[&peer]);
     config["known"] = list(7, true, &[target("s-0", listener.address, "up")]);
-    config["discovery"] = json!(nowhere().to_string());
+    config["discovery"] = json!(unused_address().to_string());
     let mut sidecar = Sidecar::start(&config);
-    let mut client = Wire::connect(sidecar.address);
+    let mut client = RawConnection::connect(sidecar.address);
     client.write(&request("quote", "r1", &scenario.timeout()).replace("HTTP/1.1", "HTTP/1.0"));
-    let (mut endpoint, _) = listener.request();
+    let (mut endpoint, _) = listener.accept_request();
     endpoint.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    endpoint.chunk(&"y".repeat(100_000));
+    endpoint.write_chunk(&"y".repeat(100_000));
     sidecar.signal("-TERM");
     // The endpoint keeps writing until the sidecar exits.
-    let reader = thread::spawn(move || client.rest(PATIENCE));
+    let reader = thread::spawn(move || client.read_until_end(WAIT_TIMEOUT));
     while endpoint.try_write("3e8\r\n") && endpoint.try_write(&("y".repeat(1000) + "\r\n")) {
         thread::sleep(Duration::from_millis(20));
     }
-    assert!(sidecar.ended().success());
+    assert!(sidecar.wait_for_exit().success());
     let (bytes, end) = reader.join().unwrap();
     assert!(bytes.len() > 100_000, "streamed only {} bytes", bytes.len());
     assert_eq!(end, End::Reset, "an orderly close would look like a complete response");
--- a/crates/curlewhub/tests/spares.rs
+++ b/crates/curlewhub/tests/spares.rs
@@ -73,22 +73,22 @@
 #[test]
 fn repeated_waits_for_the_reuse_delay_open_spare_connections_that_keep_the_delay() {
     let endpoint = Endpoint::start();
-    let sidecar = Sidecar::start(&config_at(&[endpoint.address]));
+    let sidecar = Sidecar::start(&config_for_addresses(&[endpoint.address]));
     let mut client = sidecar.client();
     let (start, mut sent) = (Instant::now(), 0);
     // Each request follows the previous response at once: a pause would let the reuse delay pass.
     // Five checks in a row: a connection that replaces another overlaps it only briefly.
     let mut both_open = 0;
     while both_open < 5 {
-        assert!(start.elapsed() < PATIENCE, "no second connection was opened");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "no second connection was opened");
         sent += 1;
-        assert_eq!(client.ask("book", &format!("r{sent}")).status(), 200);
+        assert_eq!(client.send_request("book", &format!("r{sent}")).status(), 200);
         both_open = if endpoint.open() >= 2 { both_open + 1 } else { 0 };
     }
     // No spare connection opens before requests have waited for ten full reuse delays.
     assert!(sent > DELAYS_PER_SPARE, "{sent}");
     for n in 0..20 {
-        assert_eq!(client.ask("book", &format!("s{n}")).status(), 200);
+        assert_eq!(client.send_request("book", &format!("s{n}")).status(), 200);
     }
     let shortest = endpoint.reuse_intervals.lock().unwrap().iter().min().copied();
     assert!(
@@ -101,19 +101,19 @@
 fn a_connection_survives_a_client_that_leaves_during_the_reuse_delay() {
     let (start, mut reused) = (Instant::now(), 0);
     while reused < 3 {
-        assert!(start.elapsed() < PATIENCE, "the connection closed with the client that waited for it");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "the connection closed with the client that waited for it");
         let peer = Peer::serving("ok");
         let sidecar = Sidecar::start(&config(&[&peer]));
         let (mut client, mut leaving) = (sidecar.client(), sidecar.client());
-        assert_eq!(client.ask("quote", "first").status(), 200);
+        assert_eq!(client.send_request("quote", "first").status(), 200);
         leaving.send(&request("quote", "leaving", "10000m"));
         // The request is read and waits for the reuse delay; then its client disconnects.
         thread::sleep(OBSERVED_REUSE_DELAY / 4);
         drop(leaving);
         // If the disconnect is not noticed by the end of the delay, the request is sent and counted.
         thread::sleep(2 * OBSERVED_REUSE_DELAY);
-        assert_eq!(client.ask("quote", "last").status(), 200);
-        let never_sent = peer.count() == 2;
+        assert_eq!(client.send_request("quote", "last").status(), 200);
+        let never_sent = peer.request_count() == 2;
         reused += usize::from(never_sent && peer.connections.load(Ordering::SeqCst) == 1);
     }
 }
@@ -121,12 +121,12 @@
 #[test]
 fn spare_connections_respect_the_configured_connection_limit() {
     let endpoint = Endpoint::start();
-    let mut config = config_at(&[endpoint.address]);
+    let mut config = config_for_addresses(&[endpoint.address]);
     config["limits"]["endpoint_connections"] = json!(1);
     let sidecar = Sidecar::start(&config);
     let mut client = sidecar.client();
     for n in 0..5 * DELAYS_PER_SPARE {
-        assert_eq!(client.ask("book", &format!("r{n}")).status(), 200);
+        assert_eq!(client.send_request("book", &format!("r{n}")).status(), 200);
     }
     assert_eq!(endpoint.connections(), 1);
 }
--- a/crates/curlewhub/tests/streaming.rs
+++ b/crates/curlewhub/tests/streaming.rs
@@ -115,7 +115,7 @@
 
 fn connect(sidecar: &Sidecar) -> BufReader<TcpStream> {
     let stream = TcpStream::connect(sidecar.address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     BufReader::new(stream)
 }
 
@@ -128,7 +128,7 @@
 
 #[test]
 fn bodies_larger_than_the_memory_limit_are_streamed_in_both_directions() {
-    let mut config = config_at(&[start_endpoint(echo), start_endpoint(echo)]);
+    let mut config = config_for_addresses(&[start_endpoint(echo), start_endpoint(echo)]);
     config["limits"]["memory_mb"] = json!(32);
     let sidecar = Sidecar::start(&config);
     thread::scope(|scope| {
@@ -181,7 +181,7 @@
                 }
             }
         });
-        let sidecar = Sidecar::start(&config_at(&[address]));
+        let sidecar = Sidecar::start(&config_for_addresses(&[address]));
         let mut client = connect(&sidecar);
         for n in 0..2 {
             client.get_mut().write_all(request("book", &format!("r{n}"), "15000m").as_bytes()).unwrap();
@@ -216,8 +216,8 @@
                 let _ = writer.write_all(&body_bytes(0, 200_000));
             }
         });
-        let mut config = config_at(&[address]);
-        config["operator"] = json!(nowhere().to_string());
+        let mut config = config_for_addresses(&[address]);
+        config["operator"] = json!(unused_address().to_string());
         let sidecar = Sidecar::start(&config);
         let mut client = connect(&sidecar);
         client.get_mut().write_all(request("book", "r1", "15000m").as_bytes()).unwrap();
@@ -226,8 +226,8 @@
             Some(length) => assert!(!body_matches(&mut client, length), "the body was not truncated"),
             None => assert!(read_chunked_body(&mut client).is_none(), "a last chunk arrived"),
         }
-        wait_for("the failure to be counted", || sidecar.figure("failure.book") == 1);
-        assert_eq!((sidecar.figure("success.book"), sidecar.figure("inflight")), (0, 0));
+        wait_for("the failure to be counted", || sidecar.metric("failure.book") == 1);
+        assert_eq!((sidecar.metric("success.book"), sidecar.metric("inflight")), (0, 0));
     }
 }
 
@@ -235,7 +235,7 @@
 fn an_endless_response_is_cut_off_at_the_maximum_body_length() {
     let peer = Peer::new(|_| {
         let start = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        Do::Flood(start.to_owned(), format!("{:x}\r\n{}\r\n", 50_000, "x".repeat(50_000)))
+        Action::Flood(start.to_owned(), format!("{:x}\r\n{}\r\n", 50_000, "x".repeat(50_000)))
     });
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = connect(&sidecar);
@@ -243,7 +243,7 @@
     let mut all = Vec::new();
     let _ = client.read_to_end(&mut all); // a reset truncates it too
     assert!(all.len() < MAX_BODY + MAX_BODY / 8 && !all.ends_with(b"0\r\n\r\n"), "{} bytes", all.len());
-    wait_for("the endpoint's connection to be closed", || peer.closed() == 1);
+    wait_for("the endpoint's connection to be closed", || peer.closed_by_sidecar() == 1);
 }
 
 #[test]
@@ -258,14 +258,14 @@
         client.send(piece);
     }
     assert_eq!(client.receive().expect("a response").status(), 200);
-    assert_eq!(client.ask("book", "r2").status(), 200, "the connection is still in use");
-    let seen = peer.seen.lock().unwrap()[0].clone();
+    assert_eq!(client.send_request("book", "r2").status(), 200, "the connection is still in use");
+    let seen = peer.requests.lock().unwrap()[0].clone();
     assert_eq!((&seen.body[..], seen.header("content-length")), (&b"body"[..], "4"));
 }
 
 #[test]
 fn a_client_that_expects_100_continue_receives_it() {
-    let sidecar = Sidecar::start(&config_at(&[start_endpoint(echo)]));
+    let sidecar = Sidecar::start(&config_for_addresses(&[start_endpoint(echo)]));
     let mut client = connect(&sidecar);
     let start = post_head("book", "r1", 200_000).replace("X-Timeout", "Expect: 100-continue\r\nX-Timeout");
     client.get_mut().write_all(start.as_bytes()).unwrap();
@@ -282,14 +282,14 @@
     let mut client = sidecar.client();
     client.send(&request("quote", "r1", "15000m").replace("GET /", "GET http://origin.svc/"));
     assert_eq!(client.receive().expect("a response").status(), 200);
-    assert_eq!(peer.seen.lock().unwrap()[0].target(), "/quote/x?user=7f3a9c21e0b4d655&n=1");
+    assert_eq!(peer.requests.lock().unwrap()[0].target(), "/quote/x?user=7f3a9c21e0b4d655&n=1");
 }
 
 #[test]
 fn a_long_request_is_retried_elsewhere_while_its_start_is_still_buffered() {
     // One unreachable endpoint, not two: the random choice of two candidates could pick those two
     // repeatedly.
-    let sidecar = Sidecar::start(&config_at(&[nowhere(), start_endpoint(echo)]));
+    let sidecar = Sidecar::start(&config_for_addresses(&[unused_address(), start_endpoint(echo)]));
     for n in 0..6 {
         // Longer than the buffer: it is forwarded while it still arrives.
         let length = 3_000_000;
@@ -311,7 +311,7 @@
             let _ = reader.read_to_end(&mut Vec::new());
         }
     });
-    let sidecar = Sidecar::start(&config_at(&[address]));
+    let sidecar = Sidecar::start(&config_for_addresses(&[address]));
     let mut client = connect(&sidecar);
     let length = 20_000_000;
     client.get_mut().write_all(post_head("book", "r1", length).as_bytes()).unwrap();
@@ -329,10 +329,10 @@
             let _ = seen.send(body_matches(&mut reader, content_length(&head).unwrap()));
         }
     });
-    let sidecar = Sidecar::start(&config_at(&[address]));
+    let sidecar = Sidecar::start(&config_for_addresses(&[address]));
     let mut client = connect(&sidecar);
     client.get_mut().write_all(post_head("book", "r1", 5_000_000).as_bytes()).unwrap();
     write_body(client.get_mut(), 2_000_000, 100_000);
     assert!(read_head(&mut client).is_none_or(|head| head[0].starts_with("http/1.1 408")));
-    assert_eq!(heard.recv_timeout(PATIENCE), Ok(false), "the endpoint got a complete body");
+    assert_eq!(heard.recv_timeout(WAIT_TIMEOUT), Ok(false), "the endpoint got a complete body");
 }
--- a/crates/curlewhub/tests/surge.rs
+++ b/crates/curlewhub/tests/surge.rs
@@ -16,7 +16,7 @@
     let peer = Peer::new(move |_| {
         let number = counter.fetch_add(1, Ordering::SeqCst);
         wait_for("the gate", || gate.load(Ordering::SeqCst) > number);
-        Do::Serve("ok")
+        Action::Serve("ok")
     });
     let mut config = config(&[&peer]);
     // Inside a tier no response counts as late by its duration, so that a slow machine does not change the
--- a/crates/curlewhub/tests/system_calls.rs
+++ b/crates/curlewhub/tests/system_calls.rs
@@ -112,7 +112,7 @@
     fn send_request(&mut self, class: &str, id: &str) {
         let mut connection = self.open.take().unwrap_or_else(|| {
             let stream = TcpStream::connect(self.sidecar.address).expect("the connection is accepted");
-            stream.set_read_timeout(Some(PATIENCE)).unwrap();
+            stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
             BufReader::new(stream)
         });
         self.outcome.sent += 1;
@@ -179,7 +179,7 @@
             });
             let reached = |entry: usize| self.injection.struck(entry).unwrap() >= min_faults;
             let began = std::time::Instant::now();
-            while !(0..entries).all(reached) && began.elapsed() < PATIENCE && !load.is_finished() {
+            while !(0..entries).all(reached) && began.elapsed() < WAIT_TIMEOUT && !load.is_finished() {
                 std::thread::sleep(Duration::from_millis(5));
             }
             stop.store(true, Ordering::SeqCst);
@@ -321,8 +321,8 @@
     let peer = |_| {
         let count = AtomicUsize::new(0);
         Peer::new(move |_| match count.fetch_add(1, Ordering::SeqCst) % 8 {
-            7 => Do::ServeAndEnd("ok"),
-            _ => Do::Late(RESPONSE_DELAY),
+            7 => Action::ServeAndHalfClose("ok"),
+            _ => Action::ServeAfter(RESPONSE_DELAY),
         })
     };
     (0..3).map(peer).collect()
@@ -367,7 +367,7 @@
         assert!(setup.injection.struck(0).unwrap() > 0);
         setup.switch(Switch::Off);
         // Endpoints may be skipped for a moment after so many failures.
-        wait_for("a served request", || setup.sidecar.ask("quote", "after").status() == 200);
+        wait_for("a served request", || setup.sidecar.send_request("quote", "after").status() == 200);
         let after = setup.run_clients(&CLASSES, false, CLIENTS, &|_, n| n < WARM_UP_REQUESTS);
         assert!(after.all_served(), "{errno}: {after:?}\n{}", setup.sidecar.log());
         eprintln!("{errno}: {during:?}, then {after:?}");
--- a/crates/curlewhub/tests/waits/limits.rs
+++ b/crates/curlewhub/tests/waits/limits.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn more_clients_than_descriptors_are_all_answered_within_the_limit() {
-    let peer = Peer::new(|_| Do::Late(Duration::from_millis(300)));
+    let peer = Peer::new(|_| Action::ServeAfter(Duration::from_millis(300)));
     let mut config = config(&[&peer]);
     config["limits"]["sockets"] = json!(128);
     // The kernel enforces the same limit: exceeding it would show as errors.
@@ -29,7 +29,7 @@
     assert!(peak <= 128, "{peak} descriptors");
     assert!(served >= 40, "{served} served");
     drop(clients);
-    assert_eq!(sidecar.ask("quote", "after").status(), 200);
+    assert_eq!(sidecar.send_request("quote", "after").status(), 200);
 }
 
 #[test]
@@ -37,15 +37,15 @@
     let peer = Peer::serving("ok");
     // The configured limit is 1,024, but the kernel allows far fewer.
     let mut sidecar = Sidecar::start_with(&config(&[&peer]), "ulimit -n 40;");
-    assert_eq!(sidecar.ask("quote", "before").status(), 200);
+    assert_eq!(sidecar.send_request("quote", "before").status(), 200);
     let clients: Vec<Client> = (0..60).map(|_| sidecar.client()).collect();
     wait_for("its descriptors to be used up", || sidecar.descriptors() >= 40);
-    let before = sidecar.ticks();
+    let before = sidecar.cpu_ticks();
     thread::sleep(Duration::from_secs(1));
-    let used = sidecar.ticks() - before;
+    let used = sidecar.cpu_ticks() - before;
     assert!(used < 50, "{used} ticks of a second spent on failing to accept");
     drop(clients);
-    assert_eq!(sidecar.ask("quote", "after").status(), 200);
+    assert_eq!(sidecar.send_request("quote", "after").status(), 200);
     assert!(sidecar.child.try_wait().unwrap().is_none());
 }
 
@@ -58,32 +58,35 @@
     let mut idle = Vec::new();
     for n in 0..80 {
         let mut client = sidecar.client();
-        assert!(matches!(client.ask("quote", &format!("r{n}")).status(), 200 | 503));
+        assert!(matches!(client.send_request("quote", &format!("r{n}")).status(), 200 | 503));
         idle.push(client);
     }
     let start = Instant::now();
-    wait_for("a free descriptor", || sidecar.ask("quote", "new").status() == 200);
+    wait_for("a free descriptor", || sidecar.send_request("quote", "new").status() == 200);
     assert!(start.elapsed() < Duration::from_secs(12), "well before the idle timeout would close them");
 }
 
 #[test]
 fn a_recently_used_connection_is_not_closed_abruptly_to_free_descriptors() {
-    let peer = Peer::new(|m| if m.target().starts_with("/book") { Do::Serve("ok") } else { Do::Silence });
+    let peer =
+        Peer::new(
+            |m| if m.target().starts_with("/book") { Action::Serve("ok") } else { Action::NeverAnswer },
+        );
     let mut config = config(&[&peer]);
     config["limits"]["sockets"] = json!(128);
     for _ in 0..20 {
         let sidecar = Sidecar::start(&config);
         let mut client = sidecar.client();
-        assert_eq!(client.ask("book", "r1").status(), 200);
+        assert_eq!(client.send_request("book", "r1").status(), 200);
         let answered = Instant::now();
-        let before = peer.count();
+        let before = peer.request_count();
         let mut others: Vec<Client> = (0..60).map(|_| sidecar.client()).collect();
         for (n, other) in others.iter_mut().enumerate() {
             other.send(&request("quote", &format!("s{n}"), "20000m"));
         }
         // All but one of the fifty connections that fit are in use; the others are rejected.
         wait_for("the descriptors to be used up", || {
-            peer.count() >= before + 3 && others[59].receive().is_some()
+            peer.request_count() >= before + 3 && others[59].receive().is_some()
         });
         client.send(&request("book", "r2", "20000m"));
         if answered.elapsed() > Duration::from_millis(500) {
@@ -99,15 +102,15 @@
 
 #[test]
 fn requests_in_flight_at_sigterm_and_after_it_are_completed() {
-    let peer = Peer::new(|_| Do::Late(Duration::from_millis(1000)));
+    let peer = Peer::new(|_| Action::ServeAfter(Duration::from_millis(1000)));
     let mut sidecar = Sidecar::start(&config(&[&peer]));
     let mut idle = sidecar.client();
-    assert_eq!(idle.ask("quote", "r0").status(), 200);
+    assert_eq!(idle.send_request("quote", "r0").status(), 200);
     let mut early = sidecar.client();
     early.send(&request("book", "r1", "20000m"));
-    wait_for("the attempt", || peer.count() == 2);
+    wait_for("the attempt", || peer.request_count() == 2);
     sidecar.signal("-TERM");
-    wait_for("the drain to begin", || sidecar.ready() != Some(200));
+    wait_for("the drain to begin", || sidecar.readiness_status() != Some(200));
     let mut late = sidecar.client();
     late.send(&request("book", "r2", "20000m"));
     for client in [&mut early, &mut late] {
@@ -115,7 +118,7 @@
         assert_eq!((response.status(), response.header("connection")), (200, "close"));
     }
     assert!(idle.receive().is_none(), "idle connections are closed");
-    assert!(sidecar.ended().success());
+    assert!(sidecar.wait_for_exit().success());
 }
 
 #[test]
@@ -137,18 +140,18 @@
             200
         );
     }
-    assert!(sidecar.ended().success());
+    assert!(sidecar.wait_for_exit().success());
 }
 
 #[test]
 fn requests_that_can_not_finish_before_sigkill_get_an_error() {
-    let peer = Peer::new(|_| Do::Silence);
+    let peer = Peer::new(|_| Action::NeverAnswer);
     let mut sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
     client.send(&request("book", "r1", "20000m"));
-    wait_for("the attempt", || peer.count() == 1);
+    wait_for("the attempt", || peer.request_count() == 1);
     sidecar.signal("-TERM");
     let response = client.receive().expect("a complete response before the process exits");
     assert!(!matches!(response.status(), 200 | 429 | 503), "{}", response.first_line);
-    assert!(sidecar.ended().success());
+    assert!(sidecar.wait_for_exit().success());
 }
--- a/crates/curlewhub/tests/waits/malformed_requests.rs
+++ b/crates/curlewhub/tests/waits/malformed_requests.rs
@@ -38,42 +38,42 @@
             assert!(client.receive().is_none(), "more was read on the connection: {bad}");
         }
     }
-    assert_eq!(peer.count(), 0, "a part of it was forwarded");
+    assert_eq!(peer.request_count(), 0, "a part of it was forwarded");
 }
 
 #[test]
 fn pipelined_requests_are_never_served() {
-    let peer = Peer::new(|_| Do::Silence);
+    let peer = Peer::new(|_| Action::NeverAnswer);
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
     let all: String = (0..300).map(|n| request("quote", &format!("r{n}"), "5000m")).collect();
     client.send(&all);
     assert!(client.receive().is_none_or(|response| (400..500).contains(&response.status())));
     assert!(client.receive().is_none(), "the connection stays open");
-    assert_eq!(peer.count(), 0, "a part of it was forwarded");
+    assert_eq!(peer.request_count(), 0, "a part of it was forwarded");
     // The same with single requests, the first already forwarded.
     let mut client = sidecar.client();
     client.send(&request("quote", "s1", "20000m"));
-    wait_for("the attempt", || peer.count() == 1);
+    wait_for("the attempt", || peer.request_count() == 1);
     client.send(&request("quote", "s2", "20000m"));
     assert!(client.receive().is_none_or(|response| (400..500).contains(&response.status())));
     assert!(client.receive().is_none(), "the connection stays open");
-    wait_for("the attempt to end", || peer.closed() == 1);
-    assert_eq!(peer.count(), 1);
+    wait_for("the attempt to end", || peer.closed_by_sidecar() == 1);
+    assert_eq!(peer.request_count(), 1);
 }
 
 #[test]
 fn a_request_id_already_in_use_is_rejected_without_effect_on_the_first_request() {
-    let peer = Peer::new(|_| Do::Late(Duration::from_millis(800)));
+    let peer = Peer::new(|_| Action::ServeAfter(Duration::from_millis(800)));
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut first = sidecar.client();
     first.send(&request("book", "twice", "20000m"));
-    wait_for("the attempt", || peer.count() == 1);
-    let refused = sidecar.ask("quote", "twice").status();
+    wait_for("the attempt", || peer.request_count() == 1);
+    let refused = sidecar.send_request("quote", "twice").status();
     assert!((400..500).contains(&refused) && refused != 429, "{refused}");
     assert_eq!(first.receive().expect("a response to the first request").status(), 200);
-    assert_eq!(peer.count(), 1);
-    assert_eq!(sidecar.ask("book", "twice").status(), 200, "the ID can be used again");
+    assert_eq!(peer.request_count(), 1);
+    assert_eq!(sidecar.send_request("book", "twice").status(), 200, "the ID can be used again");
 }
 
 #[test]
@@ -86,7 +86,7 @@
             let mut client = sidecar.client();
             if reused {
                 // On a connection that has already served a request.
-                assert_eq!(client.ask("book", "r0").status(), 200);
+                assert_eq!(client.send_request("book", "r0").status(), 200);
             }
             if reused && sent == 0 {
                 continue; // the idle connection of a compliant client
@@ -118,7 +118,11 @@
         others.push(other);
     }
     for n in 0..20 {
-        assert_eq!(sidecar.ask("book", &format!("r{n}")).status(), 200, "in spite of the other clients");
+        assert_eq!(
+            sidecar.send_request("book", &format!("r{n}")).status(),
+            200,
+            "in spite of the other clients"
+        );
     }
     assert!(sidecar.descriptors() <= 128);
 }
--- a/crates/runtime/src/inbound/mod.rs
+++ b/crates/runtime/src/inbound/mod.rs
@@ -133,7 +133,7 @@
         let _ = timeout_at(drain_end, self.all_closed()).await;
         self.connections.borrow().values().for_each(|connection| connection.close_signal.notify_one());
         if timeout_at(failing_start, self.all_closed()).await.is_err() {
-            let _ = self.inbox.send(Input::GiveUp);
+            let _ = self.inbox.send(Input::FailOpenRequests);
             let _ = timeout_at(end.start_of(Phase::Exiting, succeeded), self.all_closed()).await;
         }
         self.connections.borrow().values().for_each(|connection| connection.reset_if_responding());
