--- a/crates/curlewhub/tests/basics.rs
+++ b/crates/curlewhub/tests/basics.rs
@@ -1,4 +1,4 @@
-//! The built sidecar against scripted peers: what is served, how attempts end, bad input.
+//! The built sidecar with scripted endpoints: requests served, outcomes of attempts, malformed input.
 
 #[path = "support/mod.rs"]
 mod support;
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Two peers of which whichever is asked first does this, and everything later is served.
+/// Two peers: the first request that either of them receives gets this action, and all later ones are served.
 fn first_does(act: Action) -> [Peer; 2] {
     let asked = Arc::new(AtomicUsize::new(0));
     [0, 1].map(|_| {
@@ -20,19 +20,19 @@
     })
 }
 
-/// The status of the answer to one request, and how many attempts came, where the first does this.
+/// Sends one request whose first attempt gets this action. The status of its answer, and the number of attempts.
 fn outcome_of(class: &str, act: Action) -> (u16, usize) {
     let peers = first_does(act);
     let sidecar = Sidecar::start(&config(&[&peers[0], &peers[1]]));
     let answer = sidecar.send_request(class, "r1");
     if answer.status() == 200 {
-        assert_eq!(answer.body, b"second", "only an endpoint's whole answer is passed on");
+        assert_eq!(answer.body, b"second", "only a complete answer of an endpoint is forwarded");
     }
     (answer.status(), peers[0].request_count() + peers[1].request_count())
 }
 
 #[test]
-fn a_request_goes_on_unchanged_and_its_answer_comes_back() {
+fn a_request_and_its_answer_are_forwarded_unchanged() {
     let peer = Peer::serving("the answer");
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
@@ -45,7 +45,7 @@
         assert_eq!(seen.header("idempotency-key"), if class == "pay" { "k1" } else { "" });
         assert_eq!(seen.body, if method == "POST" { &b"body"[..] } else { &b""[..] });
         let time = seen.header("x-timeout").strip_suffix('u').unwrap().parse::<u64>().unwrap();
-        assert!((1..10_000_000).contains(&time), "{time}: no more than the client has left");
+        assert!((1..10_000_000).contains(&time), "{time}: at most what is left of the client's timeout");
     }
     assert_eq!(peer.connections.load(Ordering::SeqCst), 1, "the connection is kept and used again");
 }
@@ -76,7 +76,7 @@
         let act = Action::Write(answer(status, "X-Not-Processed: 1\r\n", ""));
         assert_eq!(outcome_of("book", act), (200, 2));
     }
-    // With an answer that breaks off nothing is proved: it is spoilt, and such a request has run.
+    // A truncated answer proves nothing, whatever its headers say: the request may have run.
     let torn = "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 9\r\n\r\nha".to_owned();
     assert_eq!(outcome_of("book", Action::WriteAndClose(torn)), (502, 1));
 }
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_request_refused_everywhere_is_refused_and_not_failed() {
+fn a_request_whose_connections_are_all_refused_is_answered_with_503() {
     let sidecar = Sidecar::start(&config_for_addresses(&[unused_address()]));
     assert_eq!(sidecar.send_request("book", "r1").status(), 503);
 }
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_silent_endpoint_costs_a_request_no_more_than_its_time() {
+fn a_request_to_an_endpoint_that_never_answers_ends_at_its_timeout() {
     let peer = Peer::new(|_| Action::NeverAnswer);
     let sidecar = Sidecar::start(&config(&[&peer]));
     for class in ["quote", "book"] {
@@ -139,7 +139,11 @@
         client.send(&request(class, class, "700m"));
         let answer = client.receive().expect("an answer all the same");
         assert!((500..600).contains(&answer.status()), "{}", answer.first_line);
-        assert_eq!(answer.status() == 503, class == "quote", "an unsafe one that may run is not refused");
+        assert_eq!(
+            answer.status() == 503,
+            class == "quote",
+            "an unsafe request that may have run is not reported as refused"
+        );
     }
     wait_for("both attempts being given up", || peer.closed_by_sidecar() == 2);
     assert_eq!(peer.request_count(), 2);
@@ -155,7 +159,7 @@
             if cut_off.load(Ordering::SeqCst) {
                 return Action::NeverAnswer;
             }
-            // The first two wait for each other, so that each has a connection of its own.
+            // The first two requests wait for each other, so that each uses its own connection.
             wait_for("both requests", || asked.load(Ordering::SeqCst) >= 2);
             Action::Serve("ok")
         })
@@ -176,7 +180,7 @@
 }
 
 #[test]
-fn a_client_that_would_wait_longer_than_its_class_does_is_answered_in_the_class_s_time() {
+fn the_deadline_of_the_class_limits_a_longer_client_timeout() {
     let peer = Peer::new(|_| Action::NeverAnswer);
     let mut config = config(&[&peer]);
     for class in [0, 1] {
@@ -190,7 +194,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_attempt() {
+fn an_attempt_is_cancelled_when_its_client_disconnects() {
     let peer = Peer::new(|_| Action::NeverAnswer);
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
@@ -202,7 +206,7 @@
 }
 
 #[test]
-fn bad_input_is_a_failure_and_never_sent_on() {
+fn malformed_requests_are_rejected_and_never_forwarded() {
     let peer = Peer::serving("ok");
     let sidecar = Sidecar::start(&config(&[&peer]));
     let good = request("quote", "r1", "5000m");
@@ -246,12 +250,12 @@
         let what = bad.chars().take(200).collect::<String>();
         let mut client = sidecar.client();
         client.send(&bad);
-        // What is cut off while a body is still being sent may reach the client as a reset.
+        // A client that is still sending its body when the connection is closed may see a reset instead of the answer.
         let status = client.receive().map_or(413, |answer| answer.status());
         assert!((400..500).contains(&status) && status != 429, "{status} for {what}");
     }
     assert_eq!(peer.request_count(), 0);
-    assert_eq!(sidecar.send_request("quote", "r2").status(), 200, "it lives on");
+    assert_eq!(sidecar.send_request("quote", "r2").status(), 200, "the sidecar still serves");
 }
 
 #[test]
@@ -286,7 +290,7 @@
 }
 
 #[test]
-fn an_answer_late_for_one_client_holds_up_no_other() {
+fn a_late_answer_for_one_client_does_not_delay_another() {
     let peer =
         Peer::new(
             |m| if m.target().starts_with("/book") { Action::NeverAnswer } else { Action::Serve("ok") },
--- a/crates/curlewhub/tests/connections.rs
+++ b/crates/curlewhub/tests/connections.rs
@@ -1,4 +1,4 @@
-//! The built sidecar and how many connections endpoints accept.
+//! The built sidecar and endpoints that limit their number of connections.
 
 #[path = "support/mod.rs"]
 mod support;
@@ -11,25 +11,25 @@
 use support::discovery::Discovery;
 use support::*;
 
-/// Holds answers back until it is let go, and counts what has come.
+/// Delays answers until it is opened, and counts the requests received.
 #[derive(Clone, Default)]
 struct Gate {
     open: Arc<AtomicBool>,
-    come: Arc<AtomicUsize>,
+    received: Arc<AtomicUsize>,
 }
 
 impl Gate {
     fn peer(&self) -> Peer {
         let gate = self.clone();
         Peer::new(move |_| {
-            gate.come.fetch_add(1, Ordering::SeqCst);
+            gate.received.fetch_add(1, Ordering::SeqCst);
             wait_for("the gate", || gate.open.load(Ordering::SeqCst));
             Action::Serve("ok")
         })
     }
 
-    fn come(&self) -> usize {
-        self.come.load(Ordering::SeqCst)
+    fn received(&self) -> usize {
+        self.received.load(Ordering::SeqCst)
     }
 
     fn open(&self) {
@@ -37,8 +37,8 @@
     }
 }
 
-/// Asks for so many at once, and says of each whether it was served.
-fn at_once(sidecar: &Sidecar, tag: &str, count: usize, meanwhile: impl FnOnce()) -> usize {
+/// Sends this many requests at once, runs `meanwhile`, and returns how many requests were served.
+fn send_concurrently(sidecar: &Sidecar, tag: &str, count: usize, meanwhile: impl FnOnce()) -> usize {
     let ask = |n| {
         let mut client = sidecar.client();
         client.send(&request("quote", &format!("{tag}{n}"), "10000m"));
@@ -50,8 +50,8 @@
     clients.iter_mut().map(served).filter(|served| *served).count()
 }
 
-/// Stands before a peer and takes two connections at a time; others are refused while these are up.
-fn door(peer: SocketAddr, taken: Arc<AtomicUsize>) -> SocketAddr {
+/// A TCP proxy in front of a peer that accepts two connections and then stops listening: others are refused.
+fn two_connection_proxy(peer: SocketAddr, taken: Arc<AtomicUsize>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -71,25 +71,30 @@
 }
 
 #[test]
-fn a_full_table_is_told_from_an_endpoint_that_is_gone_and_others_serve() {
+fn an_endpoint_at_its_connection_limit_is_not_taken_for_one_that_is_down() {
     let gate = Gate::default();
     let (crowded, other) = (gate.peer(), Peer::serving("ok"));
     let taken = Arc::<AtomicUsize>::default();
-    let mut config = config_for_addresses(&[door(crowded.address, taken.clone()), other.address]);
+    let mut config =
+        config_for_addresses(&[two_connection_proxy(crowded.address, taken.clone()), other.address]);
     config["known"]["targets"][1]["state"] = json!("draining");
     let discovery = Discovery::new(config["known"].clone());
     config["discovery"] = json!(discovery.address.to_string());
     let sidecar = Sidecar::start_with(&config, "RUST_LOG=debug");
-    let served = at_once(&sidecar, "a", 2, || {
-        wait_for("both to be there", || gate.come() == 2);
+    let served = send_concurrently(&sidecar, "a", 2, || {
+        wait_for("both to be there", || gate.received() == 2);
         let up = target("s-1", other.address, "up");
         discovery.send_line(&list(9, false, &[up]).to_string());
         wait_for("the list", || sidecar.log().contains("rev=9 "));
-        // The crowded one is asked too, and takes no third connection.
+        // The crowded endpoint is tried too, and accepts no third connection.
         let mut turned_away = 0;
         wait_for("a full table", || {
             turned_away += 1;
-            assert_eq!(at_once(&sidecar, &format!("b{turned_away}-"), 4, || ()), 4, "all by the other one");
+            assert_eq!(
+                send_concurrently(&sidecar, &format!("b{turned_away}-"), 4, || ()),
+                4,
+                "all by the other one"
+            );
             sidecar.log().contains("outcome=\"turned away\"")
         });
         gate.open();
@@ -100,31 +105,31 @@
 }
 
 #[test]
-fn what_an_operator_says_that_endpoints_accept_is_kept_to() {
+fn the_configured_limit_of_connections_per_endpoint_is_respected() {
     for (accepts, sidecars, part) in [(2, 1, 2), (9, 3, 3), (1, 3, 1)] {
         let gate = Gate::default();
         let peer = gate.peer();
         let mut config = config(&[&peer]);
         config["limits"]["endpoint_connections"] = json!(accepts);
         config["settings"]["balancers"] = json!(sidecars);
-        // Inside a tier nothing else bounds what is out at once.
+        // At stage 1 of two tiers nothing else limits the number of concurrent requests.
         config["settings"]["tiers"] = json!(["t", "u"]);
         config["settings"]["stage"] = json!(1);
         let sidecar = Sidecar::start(&config);
-        let served = at_once(&sidecar, "a", 8, || {
-            wait_for("its part", || gate.come() == part.min(3));
+        let served = send_concurrently(&sidecar, "a", 8, || {
+            wait_for("its part", || gate.received() == part.min(3));
             gate.open();
         });
         assert!(served >= part.min(3), "{served} served");
         for n in 0..20 {
-            at_once(&sidecar, &format!("b{n}-"), 4, || ());
+            send_concurrently(&sidecar, &format!("b{n}-"), 4, || ());
         }
         assert!(peer.connections.load(Ordering::SeqCst) <= part, "{accepts} among {sidecars}");
     }
 }
 
 #[test]
-fn numbers_that_make_no_sense_are_named_and_cost_no_request() {
+fn invalid_limits_are_logged_and_requests_are_still_served() {
     let odd = [json!(0), json!(-3), json!(1e12), json!("many"), json!([])];
     for (said, field) in odd.iter().flat_map(|said| [(said, "endpoint_connections"), (said, "balancers")]) {
         let peer = Peer::serving("ok");
--- a/crates/curlewhub/tests/consensus_servers.rs
+++ b/crates/curlewhub/tests/consensus_servers.rs
@@ -38,7 +38,7 @@
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         std::fs::write(folder.join("key"), "5a".repeat(32)).unwrap();
-        // An address of this test's own for each.
+        // Each gets an address that only this test uses.
         let part = 1 + (std::process::id() % 250) as u8;
         let free =
             |n: u8| TcpListener::bind((Ipv4Addr::new(127, 81, part, n), 0)).unwrap().local_addr().unwrap();
@@ -180,7 +180,7 @@
     }
 }
 
-/// Subscribers have numbers of their own, above those of the servers.
+/// Identifies a subscriber's process; above the ids of the servers.
 fn id_of(file: &str) -> u64 {
     1000 + file.bytes().map(u64::from).sum::<u64>()
 }
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn the_later_of_two_processes_with_one_name_is_the_member_also_after_it_lost_its_incarnation() {
+fn the_later_of_two_processes_with_one_name_is_the_member_also_after_losing_its_incarnation() {
     let mut servers = Servers::new("names");
     (1..=3).for_each(|id| servers.start(id, &format!("k{id}-first.toml")));
     servers.follow("twin", "first", "");
@@ -361,7 +361,8 @@
     assert!(text.contains("version 1"), "{text}");
     servers.until_logged("first", &["acts on", "\"version\":1"]);
     servers.until_logged("second", &["acts on", "\"version\":1"]);
-    // The second loses its disk, and its clock is set back an hour: its name is known with a higher incarnation than its own.
+    // The second loses its disk and its clock is set back an hour, so the servers know its name with a higher incarnation
+    // than its own.
     servers.end(id_of("second"));
     std::fs::remove_dir_all(servers.folder.join("second")).unwrap();
     servers.follow("twin", "second", "clock_ahead_ms = -3600000");
--- a/crates/curlewhub/tests/consensus_storage.rs
+++ b/crates/curlewhub/tests/consensus_storage.rs
@@ -1,4 +1,4 @@
-//! Three real consensus servers while all of their disks are full, or no sync succeeds, under proposals.
+//! Three consensus server processes under a stream of proposals while all of their disks are full or every fsync fails.
 
 use curlewhub_fault_schedule::{Call, Entry, Errno, Injection, Origin, Schedule, Switch, Target};
 use serde_json::Value;
@@ -10,15 +10,15 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Nothing that a test waits for may take longer, not even on a slow machine.
+/// Limit of every wait, also on a slow machine.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
-/// Proposals that are refused before there is room again.
+/// The number of proposals to be refused before the fault ends.
 const REFUSED: usize = 20;
-/// The entries of each server's schedule.
+/// Indices of the entries in each server's fault schedule.
 const FULL: usize = 0;
 const NO_SYNC: usize = 1;
 
-/// Three servers, each under faults of its own.
+/// Three servers, each with its own fault injection.
 struct Servers {
     folder: PathBuf,
     running: Vec<Child>,
@@ -54,11 +54,11 @@
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         std::fs::write(folder.join("key"), "5a".repeat(32)).unwrap();
-        // An address of this test's own for each.
+        // Each gets an address that only this test uses.
         let part = 1 + (std::process::id() % 250) as u8;
         let free = |n| TcpListener::bind((Ipv4Addr::new(127, 83, part, n), 0)).unwrap();
-        let doors: Vec<TcpListener> = (1..=4).map(free).collect();
-        let at: Vec<_> = doors.iter().map(|door| door.local_addr().unwrap()).collect();
+        let listeners: Vec<TcpListener> = (1..=4).map(free).collect();
+        let at: Vec<_> = listeners.iter().map(|listener| listener.local_addr().unwrap()).collect();
         for n in 1..=4 {
             let (key, state) = (folder.join("key"), folder.join(format!("k{n}")));
             let mut text = format!(
@@ -70,7 +70,7 @@
             }
             std::fs::write(folder.join(format!("k{n}.toml")), text).unwrap();
         }
-        drop(doors);
+        drop(listeners);
         let injections: Vec<Injection> = (1..=3).map(|n| injection(&folder, n)).collect();
         let mut servers = Servers { folder, running: Vec::new(), injections };
         for n in 1..=3 {
@@ -82,7 +82,7 @@
         servers
     }
 
-    /// A command on the file of one of them; the fourth is who calls.
+    /// A command with the configuration file of server `n`; the fourth file is that of the caller.
     fn program(&self, words: &[&str], n: usize) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_curlewhub"));
         command.args(words).arg("--config").arg(self.folder.join(format!("k{n}.toml")));
@@ -106,7 +106,7 @@
         std::fs::read_to_string(self.log(n)).unwrap().matches(event).count()
     }
 
-    /// Waits until it holds of what the three say of themselves.
+    /// Waits until `holds` is true of the status of the three servers.
     fn until(&self, what: &str, holds: impl Fn(&[Value]) -> bool) -> Vec<Value> {
         let began = Instant::now();
         loop {
@@ -123,36 +123,36 @@
     }
 }
 
-/// What a client was told.
+/// The answers that the proposing client got.
 #[derive(Default)]
-struct Told {
-    /// The version, by the proposal's key.
+struct ProposalResults {
+    /// Versions of committed proposals, by key.
     acknowledged: BTreeMap<String, u64>,
     refused: usize,
-    /// Asked and acknowledged while no server could write.
+    /// Proposals sent and acknowledged while no server could write.
     while_failed: Vec<String>,
 }
 
-/// Proposes one after the other until it is to end.
-fn propose(servers: &Servers, told: &Mutex<Told>, failed: &AtomicBool, ends: &AtomicBool) {
+/// Sends proposals one after another until `ends` is set.
+fn propose(servers: &Servers, results: &Mutex<ProposalResults>, failed: &AtomicBool, ends: &AtomicBool) {
     for n in 0.. {
         if ends.load(Ordering::SeqCst) {
             return;
         }
         let (key, before) = (format!("k{n}"), failed.load(Ordering::SeqCst));
         let output = servers.call(&["fleet", "propose", "--key", &key, "--kind", "999", "--body", "b"]);
-        let said = String::from_utf8_lossy(&output.stdout).into_owned();
-        let mut told = told.lock().unwrap();
+        let output_text = String::from_utf8_lossy(&output.stdout).into_owned();
+        let mut results = results.lock().unwrap();
         if !output.status.success() {
-            told.refused += 1;
+            results.refused += 1;
             continue;
         }
-        let version = said.split("version ").nth(1).and_then(|rest| rest.split_whitespace().next());
+        let version = output_text.split("version ").nth(1).and_then(|rest| rest.split_whitespace().next());
         let version = version.and_then(|digits| digits.trim_end_matches(['.', ',', ':']).parse().ok());
         if before && failed.load(Ordering::SeqCst) {
-            told.while_failed.push(key.clone());
+            results.while_failed.push(key.clone());
         }
-        told.acknowledged.insert(key, version.unwrap_or_else(|| panic!("{said}")));
+        results.acknowledged.insert(key, version.unwrap_or_else(|| panic!("{output_text}")));
     }
 }
 
@@ -164,19 +164,19 @@
     }
 }
 
-/// One span of a fault on all three, under proposals.
-fn fail(servers: &Servers, entry: usize, told: &Mutex<Told>, failed: &AtomicBool) {
-    let acknowledged = || told.lock().unwrap().acknowledged.len();
+/// Applies one fault to all three servers for a while, under proposals.
+fn run_fault(servers: &Servers, entry: usize, results: &Mutex<ProposalResults>, failed: &AtomicBool) {
+    let acknowledged = || results.lock().unwrap().acknowledged.len();
     let enough = acknowledged() + 10;
     until("acknowledged", || acknowledged() >= enough);
     servers.switch(entry, Switch::On);
     failed.store(true, Ordering::SeqCst);
-    // The third may have nothing to write any more: it leads nobody.
+    // The third may have nothing left to write, as it is not the leader.
     servers.until("a majority has stepped down", |all| {
         all.iter().filter(|one| one["version"] == 0).count() >= 2
     });
-    let refused = told.lock().unwrap().refused + REFUSED;
-    until("refused", || told.lock().unwrap().refused >= refused);
+    let refused = results.lock().unwrap().refused + REFUSED;
+    until("refused", || results.lock().unwrap().refused >= refused);
     failed.store(false, Ordering::SeqCst);
     servers.switch(entry, Switch::Off);
     let enough = acknowledged() + 10;
@@ -185,25 +185,26 @@
 }
 
 #[test]
-fn three_servers_with_full_disks_or_failing_syncs_come_back_by_themselves_and_lose_nothing() {
+fn servers_with_full_disks_or_failing_syncs_recover_without_a_restart_and_lose_no_committed_record() {
     let mut servers = Servers::start();
-    let (told, failed, ends) = (Mutex::<Told>::default(), AtomicBool::new(false), AtomicBool::new(false));
+    let (results, failed, ends) =
+        (Mutex::<ProposalResults>::default(), AtomicBool::new(false), AtomicBool::new(false));
     std::thread::scope(|scope| {
-        let client = scope.spawn(|| propose(&servers, &told, &failed, &ends));
+        let client = scope.spawn(|| propose(&servers, &results, &failed, &ends));
         let spans = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-            [FULL, NO_SYNC].iter().for_each(|entry| fail(&servers, *entry, &told, &failed));
+            [FULL, NO_SYNC].iter().for_each(|entry| run_fault(&servers, *entry, &results, &failed));
         }));
         ends.store(true, Ordering::SeqCst);
         client.join().unwrap();
         spans.unwrap();
     });
-    let told = told.into_inner().unwrap();
+    let results = results.into_inner().unwrap();
     assert!(
-        told.while_failed.is_empty(),
+        results.while_failed.is_empty(),
         "acknowledged while no server could write: {:?}",
-        told.while_failed
+        results.while_failed
     );
-    let last = *told.acknowledged.values().max().unwrap();
+    let last = *results.acknowledged.values().max().unwrap();
     let all = servers.until("all hold all", |all| {
         all.iter().all(|one| one["version"].as_u64().is_some_and(|version| version >= last))
     });
@@ -214,7 +215,7 @@
             .iter()
             .filter_map(|record| Some((record["key"].as_str()?, record["version"].as_u64()?)))
             .collect();
-        for (key, version) in &told.acknowledged {
+        for (key, version) in &results.acknowledged {
             assert_eq!(records.get(&key[..]), Some(version), "{key} at {}", one["name"]);
         }
     }
@@ -222,7 +223,7 @@
         let struck = servers.injections.iter().filter(|one| one.struck(entry).unwrap() > 0).count();
         assert!(struck >= 2, "entry {entry}");
     }
-    // The same processes, that stepped down and came back.
+    // The same processes stepped down and recovered; none was restarted.
     let stepped_down: Vec<_> = (1..=3).map(|n| servers.logged(n, "write failed; stepping down")).collect();
     let reopened: Vec<_> = (1..=3).map(|n| servers.logged(n, "storage reopened")).collect();
     assert_eq!(stepped_down, reopened);
--- a/crates/curlewhub/tests/handover.rs
+++ b/crates/curlewhub/tests/handover.rs
@@ -1,4 +1,4 @@
-//! The built sidecar and a second one that is started beside it to replace it.
+//! Replacing a running sidecar process by a successor that is started beside it.
 
 #[path = "support/mod.rs"]
 mod support;
@@ -8,7 +8,7 @@
 use support::discovery::Discovery;
 use support::*;
 
-/// A configuration for these endpoints whose discovery answers.
+/// A configuration for these endpoints with a discovery service that answers.
 fn with_discovery(peers: &[&Peer]) -> (Value, Discovery) {
     let mut config = config_with_operator(peers);
     let entry = |(n, peer): (usize, &&Peer)| target(&format!("s-{n}"), peer.address, "up");
@@ -19,12 +19,12 @@
 }
 
 #[test]
-fn an_upgrade_under_load_refuses_no_connection_and_loses_no_request() {
+fn upgrades_under_load_refuse_no_connection_and_lose_no_request() {
     let peer = Peer::serving("ok");
     let (config, _discovery) = with_discovery(&[&peer]);
     let first = Sidecar::start(&config);
     let load = Load::start(&first, 6);
-    // The folder that they share goes with the first one: all are kept until the end.
+    // Dropping the first process removes the shared state directory: all are kept until the end.
     let mut all = vec![first];
     for _ in 0..3 {
         let next = all[all.len() - 1].successor(&config);
@@ -41,15 +41,15 @@
 }
 
 #[test]
-fn bans_hold_over_an_upgrade_those_made_during_it_too() {
+fn bans_survive_upgrades_also_those_made_during_the_overlap() {
     let peers = [Peer::serving("ok"), Peer::serving("ok"), Peer::serving("ok"), Peer::serving("ok")];
     let (config, _discovery) = with_discovery(&peers.each_ref());
     let mut old = Sidecar::start(&config);
     assert_eq!(old.call("DETACH s-0"), "YES\n");
     let next = old.successor(&config);
     wait_for("the successor's yes", || next.call("PING") == "YES\n");
-    assert_eq!(old.call("DETACH s-1"), "YES\n", "told to the old one");
-    assert_eq!(next.call("DETACH s-2"), "YES\n", "told to the new one");
+    assert_eq!(old.call("DETACH s-1"), "YES\n", "sent to the old process");
+    assert_eq!(next.call("DETACH s-2"), "YES\n", "sent to the new process");
     for sidecar in [&old, &next] {
         assert_eq!(sidecar.metric("hosts_down"), 3);
     }
@@ -66,7 +66,7 @@
         peers[1].request_count() > 0
     });
     assert_eq!((peers[0].request_count(), peers[2].request_count()), (0, 0));
-    // And over the next one, with a call back during the overlap.
+    // The next upgrade keeps the bans too; one is lifted during the overlap.
     let last = next.successor(&config);
     wait_for("the successor's yes", || last.call("PING") == "YES\n");
     assert_eq!(last.metric("hosts_down"), 2);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn what_a_killed_process_has_left_does_not_stop_a_start_and_its_bans_hold() {
+fn a_start_after_a_kill_succeeds_and_keeps_the_bans() {
     let peers = [Peer::serving("ok"), Peer::serving("ok")];
     let (config, _discovery) = with_discovery(&peers.each_ref());
     let mut old = Sidecar::start(&config);
@@ -88,7 +88,7 @@
     assert_eq!(next.metric("hosts_down"), 1);
     next.signal("-KILL");
     next.wait_for_exit();
-    // Spoilt: it starts all the same.
+    // With corrupt files it still starts, without bans.
     for file in std::fs::read_dir(old.state_dir()).unwrap() {
         std::fs::write(file.unwrap().path(), "{").ok();
     }
@@ -98,11 +98,11 @@
 }
 
 #[test]
-fn a_process_that_is_hung_is_started_beside_over_the_shared_port() {
+fn a_successor_of_a_hung_process_starts_by_sharing_the_port() {
     let peer = Peer::serving("ok");
     let (config, _discovery) = with_discovery(&[&peer]);
     let old = Sidecar::start(&config);
-    // Somebody who never answers holds the handover's place.
+    // A socket that never answers takes the place of the handover socket.
     let mut files = std::fs::read_dir(old.state_dir()).unwrap().map(|file| file.unwrap().path());
     let path = files.find(|path| path.extension().is_some_and(|e| e == "sock")).unwrap();
     std::fs::remove_file(&path).unwrap();
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_successor_that_dies_leaves_the_first_one_serving() {
+fn the_first_process_keeps_serving_when_its_successor_dies() {
     let peer = Peer::serving("ok");
     let (config, _discovery) = with_discovery(&[&peer]);
     let old = Sidecar::start(&config);
--- a/crates/curlewhub/tests/learnt.rs
+++ b/crates/curlewhub/tests/learned_state.rs
@@ -1,4 +1,4 @@
-//! The built sidecar and what it has learnt: handed to a successor, kept over a crash, refused where it is wrong.
+//! The sidecar's learned state: handed to a successor, kept over a crash, refused if its file is invalid.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use support::script::RawConnection;
 use support::*;
 
-/// A configuration for one endpoint whose discovery answers.
+/// A configuration for one endpoint with a discovery service that answers.
 fn with_discovery(peer: &Peer) -> (Value, Discovery) {
     let mut config = config_with_operator(&[peer]);
     let discovery = Discovery::new(list(8, true, &[target("s-0", peer.address, "up")]));
@@ -22,14 +22,14 @@
     sidecar.state_dir().join(format!("curlewhub-learnt-{}-{}.bin", at.ip(), at.port()))
 }
 
-/// What `curlewhub snapshot show --json` says of a file.
+/// The output of `curlewhub snapshot show --json` for a file; `None` if the command fails.
 fn show(file: &std::path::Path) -> Option<Value> {
     let mut command = Command::new(env!("CARGO_BIN_EXE_curlewhub"));
     let output = command.args(["snapshot", "show", "--json"]).arg(file).output().unwrap();
     output.status.success().then(|| serde_json::from_slice(&output.stdout).unwrap())
 }
 
-/// How many answers of class `quote` a snapshot knows of.
+/// The number of answers of class `quote` that a snapshot has counted.
 fn seen(file: &std::path::Path) -> u64 {
     show(file).and_then(|shown| shown["snapshot"]["latency"][0]["seen"].as_u64()).unwrap_or_default()
 }
@@ -38,7 +38,7 @@
     (0..30).for_each(|n| assert_eq!(sidecar.send_request("quote", &format!("l{n}")).status(), 200));
 }
 
-/// A sidecar that was killed outright after it had learnt and kept something, and its file.
+/// A sidecar killed with SIGKILL after it had written its learned state, and the file.
 fn killed(config: &Value) -> (Sidecar, PathBuf) {
     let mut sidecar = Sidecar::start(config);
     learn(&sidecar);
@@ -50,13 +50,13 @@
 }
 
 #[test]
-fn a_successor_and_its_successor_start_with_what_was_learnt() {
+fn learned_state_is_handed_to_a_successor_and_on_to_the_next_one() {
     let peer = Peer::serving("ok");
     let (config, _discovery) = with_discovery(&peer);
     let first = Sidecar::start(&config);
     first.wait_for_log("snapshot: none is kept here");
     learn(&first);
-    // The folder goes with the first one: all are kept until the end.
+    // Dropping the first process removes the state directory: all are kept until the end.
     let mut all = vec![first];
     for _ in 0..2 {
         let next = all[all.len() - 1].successor(&config);
@@ -72,11 +72,11 @@
     last.signal("-TERM");
     assert!(last.wait_for_exit().success());
     let kept = file(last);
-    assert_eq!(seen(&kept), 30, "not one of them answered a request of its own");
+    assert_eq!(seen(&kept), 30, "none of the successors served a request");
 }
 
 #[test]
-fn killed_outright_it_comes_back_with_what_it_knew() {
+fn learned_state_is_restored_after_a_kill() {
     let peer = Peer::serving("ok");
     let (config, _discovery) = with_discovery(&peer);
     let (first, _) = killed(&config);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_use_is_refused_by_name_and_the_start_goes_on() {
+fn an_invalid_snapshot_is_refused_with_its_reason_and_the_start_goes_on() {
     let peer = Peer::serving("ok");
     let (config, _discovery) = with_discovery(&peer);
     let (first, kept) = killed(&config);
@@ -113,7 +113,7 @@
         next.signal("-KILL");
         next.wait_for_exit();
     }
-    // Under other settings what was learnt is not its own.
+    // State learned under other settings is refused.
     std::fs::write(&kept, &good).unwrap();
     let mut other = config.clone();
     other["settings"]["classes"][0]["objectiveMs"] = json!(9000.0);
@@ -123,12 +123,12 @@
 }
 
 #[test]
-fn where_it_can_not_be_written_traffic_goes_on_and_a_figure_says_so() {
+fn a_failed_snapshot_write_is_counted_and_traffic_goes_on() {
     let peer = Peer::serving("ok");
     let (config, _discovery) = with_discovery(&peer);
     let sidecar = Sidecar::start(&config);
     wait_for("the first file", || sidecar.metric("snapshot_ok") > 0);
-    // A folder stands where the file is to go: it can't be renamed over, whoever runs this.
+    // A directory takes the file's place: a file can't be renamed over it, whichever user runs the test.
     let kept = file(&sidecar);
     std::fs::remove_file(&kept).unwrap();
     std::fs::create_dir(&kept).unwrap();
@@ -136,19 +136,19 @@
     wait_for("the failure", || sidecar.metric("snapshot_failed") > 0);
     sidecar.wait_for_log("snapshot: can't be written");
     assert_eq!(sidecar.send_request("quote", "r1").status(), 200);
-    // One may just be written, and is gone a moment later.
+    // A temporary file may be in the middle of being written, and disappears soon after.
     wait_for("no half-written file", || {
         let beside = std::fs::read_dir(sidecar.state_dir()).unwrap().flatten();
         beside.into_iter().all(|entry| !entry.file_name().to_string_lossy().ends_with(".new"))
     });
 }
 
-/// Seen: in soak runs all sidecars of one machine answered up to 1.7 s late within the same second, while a sync on its
-/// disk took as long. How: a short snapshot was written by the thread that serves, and the rename waited for the disk.
-/// Proof: a pipe that nobody reads, in the place of the file, holds up an opener as such a disk does; and the same
-/// schedules held on a file system in memory.
+/// In soak runs all sidecars of one machine answered up to 1.7 s late within the same second, while a sync on its disk
+/// took as long: a short snapshot was written by the thread that serves, and its rename waited for the disk. The same
+/// schedules passed on a file system in memory. Here a pipe without a reader in the place of the file blocks whoever
+/// opens it, as such a disk does.
 #[test]
-fn a_disk_that_answers_late_holds_no_request_up() {
+fn a_slow_disk_delays_no_request() {
     let peer = Peer::serving("ok");
     let config = config_with_operator(&[&peer]);
     let sidecar = Sidecar::start(&config);
@@ -156,7 +156,7 @@
     wait_for("the first snapshot", || snapshot.exists());
     let pipe = snapshot.with_extension(format!("{}.new", sidecar.child.id()));
     assert!(std::process::Command::new("mkfifo").arg(&pipe).status().unwrap().success());
-    // A change of its state is written at once.
+    // A change of the lifecycle state is written immediately.
     assert!(sidecar.call("LAMEDUCK").starts_with("YES"));
     let start = std::time::Instant::now();
     while start.elapsed() < std::time::Duration::from_secs(1) {
--- a/crates/curlewhub/tests/local_faults.rs
+++ b/crates/curlewhub/tests/local_faults.rs
@@ -1,5 +1,5 @@
-//! The built sidecar while its own machine fails it: no endpoint is blamed for that, and a broken connection costs no
-//! more than what was on it.
+//! The built sidecar when system calls of its own machine fail: no endpoint is blamed for that, and a broken connection
+//! costs only the request that was on it.
 
 #[path = "support/mod.rs"]
 mod support;
@@ -10,10 +10,10 @@
 use support::*;
 
 const AGED_LOG: &str = "aged connections are reset";
-/// How long an idle connection lies before it counts as aged, with room to spare.
-const AGES: Duration = Duration::from_millis(150);
+/// Longer than a connection must be idle to count as aged, with a margin.
+const AGING_TIME: Duration = Duration::from_millis(150);
 
-/// A sidecar whose system calls can fail, and the endpoints that it calls.
+/// A sidecar with fault injection into its system calls, and the endpoints that it calls.
 struct Bench {
     sidecar: Sidecar,
     injection: Injection,
@@ -28,7 +28,7 @@
 }
 
 impl Bench {
-    /// With one fault that is off until it is switched on.
+    /// Starts with one fault that is off until it is switched on.
     fn with(name: &str, entry: impl FnOnce(Vec<SocketAddr>) -> Entry) -> Bench {
         let folder = std::env::temp_dir().join(format!("curlewhub-local-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
@@ -46,14 +46,14 @@
         self.injection.switch(0, switch).unwrap();
     }
 
-    /// One request on a connection of its own; none where the connection ended without an answer.
+    /// Sends a request on a new connection; `None` if the connection ended without an answer.
     fn ask(&self, id: &str) -> Option<u16> {
         let mut client = Client::connect(self.sidecar.address).expect("it accepts");
         client.send(&request("book", id, "2000m"));
         client.receive().map(|answer| answer.status())
     }
 
-    /// Asks until the fault has struck so often; how many were asked, and how many of them not answered.
+    /// Sends requests until the fault has struck this often; returns the number sent and the number unanswered.
     fn ask_until_struck(&self, times: u64) -> (usize, usize) {
         let (mut asked, mut unanswered) = (0, 0);
         wait_for("the fault", || {
@@ -73,7 +73,7 @@
     Entry { target, strikes, ..Entry::fails(&[Call::Recv], errno) }
 }
 
-/// No connection is up when the fault begins, and none comes up for 3 s.
+/// No connection is open when the fault begins, and none can be opened for 3 s.
 fn nobody_is_ejected(name: &str, errno: Errno) {
     let bench = Bench::with(name, connecting(errno));
     bench.switch(Switch::On);
@@ -85,7 +85,7 @@
     }
     let struck = bench.injection.struck(0).unwrap();
     assert!(struck >= asked, "each was tried");
-    assert!(struck <= asked * 4, "and no more often than its attempts: {struck} for {asked}");
+    assert!(struck <= asked * 4, "at most as often as the limit of attempts allows: {struck} for {asked}");
     bench.switch(Switch::Off);
     for n in 0..20 {
         assert_eq!(bench.ask(&format!("a{n}")), Some(200), "served again at once");
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_fault_that_ends_within_a_request_s_waits_costs_it_nothing() {
+fn a_fault_that_ends_before_the_retries_do_fails_no_request() {
     let bench = Bench::with("moment", |peers| Entry {
         at_most: Some(2),
         ..connecting(Errno::Eaddrnotavail)(peers)
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn interrupted_calls_lose_nothing_and_teach_nothing_of_age() {
+fn interrupted_calls_lose_no_request_and_mark_no_connection_as_aged() {
     let strikes = Strikes::EveryNth(2);
     let bench = Bench::with("interrupts", |_| Entry {
         strikes,
@@ -129,24 +129,24 @@
     let mut client = Client::connect(bench.sidecar.address).unwrap();
     for n in 0..20 {
         assert_eq!(client.send_request("book", &format!("i{n}")).status(), 200);
-        std::thread::sleep(AGES);
+        std::thread::sleep(AGING_TIME);
     }
     assert!(bench.injection.struck(0).unwrap() >= 40);
     assert!(!bench.sidecar.log().contains(AGED_LOG), "{}", bench.sidecar.log());
 }
 
 #[test]
-fn only_resets_by_the_other_side_speak_against_aged_connections() {
+fn only_resets_by_the_endpoint_count_against_aged_connections() {
     for (errno, taught) in [(Errno::Econnreset, true), (Errno::Enomem, false), (Errno::Ehostunreach, false)]
     {
-        // The look at an idle connection passes, and the read of the answer fails now and then.
+        // The check of an idle connection succeeds, and the read of an answer fails now and then.
         let every = Strikes::EveryNth(4);
         let name = format!("aged-{errno:?}");
         let bench = Bench::with(&name, |peers| reading(Target::Connected(peers), errno, every));
         bench.switch(Switch::On);
         for n in 0..16 {
             assert!(bench.ask(&format!("b{n}")).is_some(), "answered as failed, and answered");
-            std::thread::sleep(AGES);
+            std::thread::sleep(AGING_TIME);
         }
         assert!(bench.injection.struck(0).unwrap() >= 8);
         assert_eq!(bench.sidecar.log().contains(AGED_LOG), taught, "{errno:?}: {}", bench.sidecar.log());
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_broken_connection_to_a_client_is_the_client_s_end_and_nobody_else_s() {
+fn a_broken_client_connection_affects_only_that_client() {
     for (name, errno) in [("c-host", Errno::Ehostunreach), ("c-time", Errno::Etimedout)] {
         let every = Strikes::EveryNth(5);
         let bench = Bench::with(name, |_| reading(Target::Accepted, errno, every));
--- a/crates/curlewhub/tests/operator.rs
+++ b/crates/curlewhub/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The built sidecar and those who operate it: calls, figures, drains and bans.
+//! The built sidecar's operator address: calls, metrics, drains and bans.
 
 #[path = "support/mod.rs"]
 mod support;
@@ -11,7 +11,7 @@
 use support::*;
 
 #[test]
-fn calls_are_answered_and_what_is_no_call_gets_a_no() {
+fn valid_calls_are_answered_and_invalid_ones_get_a_no() {
     let peer = Peer::serving("ok");
     let sidecar = Sidecar::start(&config_with_operator(&[&peer]));
     assert_eq!(sidecar.call("PING"), "YES\n");
@@ -22,18 +22,18 @@
     {
         assert!(sidecar.call(bad).starts_with("NO"), "{bad:?}");
     }
-    // Half a line may be half an id.
+    // An unterminated line may hold a truncated id.
     assert!(sidecar.call_raw("DETACH s-0").starts_with("NO"));
     assert!(sidecar.call("INFO").ends_with("END\n"));
     let mut endless = TcpStream::connect(sidecar.operator.unwrap()).unwrap();
-    let _ = endless.write_all(long.as_bytes()); // may be closed under us
+    let _ = endless.write_all(long.as_bytes()); // the sidecar may close the connection during the write
     assert_eq!(sidecar.call("PING"), "YES\n");
     assert_eq!(sidecar.metric("hosts_down"), 0);
     assert_eq!(sidecar.send_request("quote", "r1").status(), 200);
 }
 
 #[test]
-fn callers_who_say_nothing_keep_nobody_waiting_and_use_up_nothing() {
+fn silent_callers_do_not_delay_others_or_use_up_descriptors() {
     let peer = Peer::serving("ok");
     let sidecar = Sidecar::start(&config_with_operator(&[&peer]));
     let before = sidecar.descriptors();
@@ -41,7 +41,7 @@
         .map(|n| {
             let mut stream = TcpStream::connect(sidecar.operator.unwrap()).unwrap();
             if n % 2 == 0 {
-                let _ = stream.write_all(b"DETA"); // one who was sent away before is no fault
+                let _ = stream.write_all(b"DETA"); // the sidecar may have closed it already
             }
             stream
         })
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn each_request_stands_under_one_count() {
+fn each_request_is_counted_in_exactly_one_metric() {
     let peer = Peer::new(|m| match m.target() {
         t if t.starts_with("/quote") => Action::Serve("ok"),
         t if t.starts_with("/pay") => Action::NeverAnswer,
@@ -63,9 +63,9 @@
     for n in 0..5 {
         assert_eq!(sidecar.send_request("quote", &format!("q{n}")).status(), 200);
     }
-    // It may have run and may not be repeated: failed.
+    // The request may have run and must not be repeated: it counts as failed.
     assert!(sidecar.send_request("book", "b1").status() >= 500);
-    // Malformed, with a class and without one that is known.
+    // Malformed requests, with a known class and without one.
     assert_eq!(sidecar.send_request("nothing", "n1").status(), 404);
     let mut client = sidecar.client();
     client.send(&request("quote", "q9", "soon"));
@@ -73,7 +73,7 @@
     let mut client = sidecar.client();
     client.send("no request at all\r\n\r\n");
     assert_eq!(client.receive().unwrap().status(), 400);
-    // Readiness is no request.
+    // Readiness checks are not counted as requests.
     assert_eq!(sidecar.readiness_status(), Some(200));
     let mut gone = sidecar.client();
     gone.send(&request("pay", "p1", "10000m"));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn refusals_are_counted_too_those_at_the_door_among_them() {
+fn refusals_are_counted_including_those_on_arrival() {
     let peer = Peer::new(|_| Action::NeverAnswer);
     let mut config = config_with_operator(&[&peer]);
     config["limits"]["sockets"] = json!(96);
@@ -99,7 +99,7 @@
     let mut clients: Vec<Client> = (0..80).map(|_| sidecar.client()).collect();
     let ask = |n: usize, client: &mut Client| client.send(&request("quote", &format!("r{n}"), "1000m"));
     clients.iter_mut().enumerate().for_each(|(n, client)| ask(n, client));
-    // Who stayed silent for too long on a slow machine was closed unread, and asks once more, as clients do.
+    // On a slow machine a connection that sent nothing for too long is closed unread; its client tries again.
     let again = |n: usize| {
         let mut client = sidecar.client();
         ask(n, &mut client);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_drain_under_load_loses_nothing_closes_what_is_idle_and_can_be_undone() {
+fn a_drain_under_load_loses_no_request_closes_idle_connections_and_can_be_undone() {
     let peer = Peer::serving("ok");
     let sidecar = Sidecar::start(&config_with_operator(&[&peer]));
     let load = Load::start(&sidecar, 4);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_drain_goes_over_into_the_end() {
+fn a_terminating_sidecar_can_not_rejoin() {
     let peer = Peer::serving("ok");
     let mut sidecar = Sidecar::start(&config_with_operator(&[&peer]));
     sidecar.call("LAMEDUCK");
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_ban_holds_at_once_and_whatever_the_list_says() {
+fn a_ban_holds_immediately_and_regardless_of_list_changes() {
     let [first, second] = [Peer::serving("ok"), Peer::serving("ok")];
     let mut config = config_with_operator(&[&first, &second]);
     let entry = |n: usize, peer: &Peer, state| target(&format!("s-{n}"), peer.address, state);
@@ -168,7 +168,7 @@
     let before = first.request_count();
     load("a");
     assert_eq!((sidecar.metric("hosts_listed"), sidecar.metric("hosts_down")), (2, 1));
-    // It leaves the list, and comes back restarted.
+    // The endpoint leaves the list and returns after a restart.
     for (rev, all, entries) in [
         (9, true, vec![entry(1, &second, "up")]),
         (10, false, vec![entry(0, &first, "draining")]),
@@ -179,8 +179,8 @@
         wait_for("the list", || sidecar.log().contains(&format!("rev={rev} ")));
         load(&format!("b{rev}-"));
     }
-    assert_eq!(first.request_count(), before, "nothing went there");
-    assert_eq!(sidecar.call("ATTACH s-0"), "YES\n", "once undoes both");
+    assert_eq!(first.request_count(), before, "the banned endpoint got no request");
+    assert_eq!(sidecar.call("ATTACH s-0"), "YES\n", "one ATTACH undoes both");
     assert_eq!(sidecar.metric("hosts_down"), 0);
     let start = Instant::now();
     wait_for("its use", || {
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_ban_of_what_has_left_the_list_can_be_undone() {
+fn a_ban_of_an_endpoint_that_left_the_list_can_be_undone() {
     let [first, second] = [Peer::serving("ok"), Peer::serving("ok")];
     let mut config = config_with_operator(&[&first, &second]);
     let entries = [target("s-0", first.address, "up"), target("s-1", second.address, "up")];
@@ -202,5 +202,5 @@
     discovery.send_line(&list(9, true, &entries[1..]).to_string());
     wait_for("the list", || sidecar.metric("hosts_listed") == 1);
     assert_eq!(sidecar.call("ATTACH s-0"), "YES\n");
-    assert!(sidecar.call("ATTACH s-0").starts_with("NO"), "nobody knows it any more");
+    assert!(sidecar.call("ATTACH s-0").starts_with("NO"), "the endpoint is no longer known");
 }
--- a/crates/curlewhub/tests/reload.rs
+++ b/crates/curlewhub/tests/reload.rs
@@ -1,4 +1,4 @@
-//! The built sidecar and SIGHUP: a new discovery, bad files, drains.
+//! The built sidecar and SIGHUP: a new discovery address, invalid files, drains.
 
 #[path = "support/mod.rs"]
 mod support;
@@ -8,7 +8,7 @@
 use support::discovery::Discovery;
 use support::*;
 
-/// A sidecar that knows the first peer and follows this discovery, and its configuration.
+/// A sidecar that starts with this peer in its list and follows this discovery service, and its configuration.
 fn following(peer: &Peer, discovery: &Discovery, mode: &str) -> (Sidecar, Value) {
     let mut config = config(&[peer]);
     config["discovery"] = json!(discovery.address.to_string());
@@ -17,20 +17,20 @@
 }
 
 #[test]
-fn a_new_discovery_is_followed_at_once_whatever_its_version_and_the_old_one_no_longer_heard() {
+fn a_new_discovery_address_takes_effect_at_once_and_the_old_server_is_ignored() {
     for mode in ["subscribe", "automatic"] {
         let (old, new) = (Peer::serving("old"), Peer::serving("new"));
         let first = Discovery::new(list(900, false, &[]));
         let (sidecar, mut config) = following(&old, &first, mode);
         wait_for("the first watch", || first.calls().len() == 1);
         assert_eq!(sidecar.send_request("book", "r1").body, b"old");
-        // Its versions are its own: a lower one is no older list.
+        // Each server counts versions on its own: a lower version here does not mean an older list.
         let second = Discovery::new(list(3, true, &[target("s-new", new.address, "up")]));
         config["discovery"] = json!(second.address.to_string());
         sidecar.reload(&config.to_string());
         wait_for("the new server's list", || sidecar.send_request("quote", "r2").body == b"new");
         wait_for("the new watch", || !second.calls().is_empty());
-        // Its watch begins with the whole list: nothing more is owed, and no version of the old server is named.
+        // The new watch begins with the whole list: no further call is needed, and it names no version of the old server.
         assert_eq!(second.calls(), ["/api/targets?watch=1&after=0"], "{mode}");
         first.send_line(&list(901, true, &[target("s-0", old.address, "up")]).to_string());
         second.send_line(&list(4, false, &[target("s-new", new.address, "up")]).to_string());
@@ -38,16 +38,16 @@
             assert_eq!(
                 sidecar.send_request("book", &format!("s{n}")).body,
                 b"new",
-                "the old server's late word"
+                "the old server's late list is ignored"
             );
         }
-        assert_eq!(first.calls().len(), 1, "it is not asked again");
-        assert_eq!(second.calls().len(), 1, "nor is the new one");
+        assert_eq!(first.calls().len(), 1, "the old server is not called again");
+        assert_eq!(second.calls().len(), 1, "nor is the new server");
     }
 }
 
 #[test]
-fn a_discovery_that_is_not_up_yet_is_found_once_it_is() {
+fn a_new_discovery_server_that_starts_later_is_found() {
     for mode in ["subscribe", "automatic"] {
         let (old, new) = (Peer::serving("old"), Peer::serving("new"));
         let first = Discovery::new(list(8, false, &[]));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn sighups_in_a_row_and_bad_files_leave_what_is_open_alone() {
+fn repeated_sighups_and_invalid_files_leave_open_requests_and_watches_alone() {
     let peer = Peer::new(|_| Action::ServeAfter(Duration::from_millis(700)));
     let discovery = Discovery::new(list(8, false, &[]));
     let (mut sidecar, config) = following(&peer, &discovery, "subscribe");
@@ -92,11 +92,11 @@
     assert_eq!(client.receive().expect("an answer all the same").status(), 200);
     assert_eq!((sidecar.send_request("book", "r2").status(), peer.request_count()), (200, 2));
     assert!(sidecar.child.try_wait().unwrap().is_none());
-    assert_eq!(discovery.calls().len(), 1, "where nothing has moved the watch goes on");
+    assert_eq!(discovery.calls().len(), 1, "with an unchanged address the watch goes on");
 }
 
 #[test]
-fn sighup_in_a_drain_ends_nothing() {
+fn sighup_during_a_drain_ends_no_request() {
     let peer = Peer::new(|_| Action::ServeAfter(Duration::from_millis(1000)));
     let mut sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
--- a/crates/curlewhub/tests/sharing.rs
+++ b/crates/curlewhub/tests/sharing.rs
@@ -1,4 +1,4 @@
-//! Two processes of one sidecar side by side: who holds how much, and what becomes of it when one has gone.
+//! Two processes of one sidecar during an overlap: how they split the shares, and what happens to these when one ends.
 
 mod support;
 
@@ -13,7 +13,7 @@
 use support::discovery::Discovery;
 use support::*;
 
-/// A configuration for one endpoint whose discovery answers.
+/// A configuration for one endpoint with a discovery service that answers.
 fn with_discovery(peer: &Peer) -> (Value, Discovery) {
     let mut config = config_with_operator(&[peer]);
     let discovery = Discovery::new(list(8, true, &[target("s-0", peer.address, "up")]));
@@ -21,10 +21,10 @@
     (config, discovery)
 }
 
-/// Two side by side, the second one with its yes, and load at them.
+/// A sidecar and its ready successor, under load.
 fn pair(config: &Value) -> (Sidecar, Sidecar, Load) {
     let old = Sidecar::start(config);
-    assert_eq!(old.metric("share_parts"), 64, "alone it has all");
+    assert_eq!(old.metric("share_parts"), 64, "a single process holds all parts");
     let load = Load::start(&old, 4);
     let new = old.successor(config);
     wait_for("the successor's yes", || new.call("PING") == "YES\n");
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn two_share_and_the_old_ones_parts_come_to_the_new_one_when_it_ends() {
+fn two_processes_share_and_the_new_one_takes_all_parts_when_the_old_one_ends() {
     let peer = Peer::serving("ok");
     let (config, _discovery) = with_discovery(&peer);
     let (mut old, new, load) = pair(&config);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn when_the_old_one_is_killed_amid_the_overlap_the_new_one_has_all() {
+fn the_new_process_takes_all_parts_when_the_old_one_is_killed_during_the_overlap() {
     let peer = Peer::serving("ok");
     let (config, _discovery) = with_discovery(&peer);
     let old = Sidecar::start(&config);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn when_the_new_one_is_killed_amid_the_overlap_the_old_one_has_all_again() {
+fn the_old_process_takes_all_parts_back_when_the_new_one_is_killed_during_the_overlap() {
     let peer = Peer::serving("ok");
     let (config, _discovery) = with_discovery(&peer);
     let old = Sidecar::start(&config);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn one_that_is_stopped_amid_the_overlap_does_not_keep_its_parts() {
+fn a_process_stopped_during_the_overlap_loses_its_parts() {
     let peer = Peer::serving("ok");
     let (config, _discovery) = with_discovery(&peer);
     let old = Sidecar::start(&config);
@@ -79,7 +79,7 @@
     assert_eq!(
         old.metric("share_parts") + new.metric("share_parts"),
         64,
-        "idle, nothing moves between the two looks"
+        "without load no part moves between the two reads"
     );
     old.signal("-STOP");
     wait_for("all", || new.metric("share_parts") == 64);
@@ -91,15 +91,15 @@
     wait_for("the old one to go on too", || old.metric("share_parts") == 64);
 }
 
-/// A process before that hands over what every version does, and then does this with the rest.
+/// A scripted predecessor: it hands over what every version hands over, then runs `rest` on the connection.
 fn scripted(first: &Sidecar, rest: impl FnOnce(UnixStream) + Send + 'static) -> JoinHandle<()> {
     let at = first.address;
     let path = first.state_dir().join(format!("curlewhub-handover-{}-{}.sock", at.ip(), at.port()));
     let _ = std::fs::remove_file(&path);
-    let door = UnixListener::bind(path).unwrap();
+    let listener = UnixListener::bind(path).unwrap();
     let clients = TcpListener::bind("127.0.0.1:0").unwrap();
     std::thread::spawn(move || {
-        let (mut stream, _) = door.accept().unwrap();
+        let (mut stream, _) = listener.accept().unwrap();
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut message = SendAncillaryBuffer::new(&mut space);
         let sockets = [clients.as_fd()];
@@ -110,7 +110,7 @@
     })
 }
 
-/// A sidecar that was killed and has left its snapshot.
+/// A sidecar that was killed after it had written its snapshot.
 fn killed(config: &Value) -> Sidecar {
     let mut first = Sidecar::start(config);
     assert_eq!(first.send_request("quote", "l1").status(), 200);
@@ -121,12 +121,12 @@
 }
 
 #[test]
-fn one_before_that_dies_between_socket_and_snapshot_leaves_the_file() {
+fn the_snapshot_file_is_used_when_the_predecessor_dies_before_handing_its_state_over() {
     let peer = Peer::serving("ok");
     let (config, _discovery) = with_discovery(&peer);
     let first = killed(&config);
     let before = scripted(&first, |stream| {
-        // Until it is asked for what it has learnt; then it is no more.
+        // It reads until it is asked for its learned state, and then ends.
         let asked = BufReader::new(&stream).lines().map_while(Result::ok).any(|line| line == "LEARN");
         assert!(asked);
     });
@@ -139,12 +139,12 @@
 }
 
 #[test]
-fn one_before_that_knows_nothing_of_parts_does_not_hold_the_new_one_up() {
+fn a_predecessor_that_does_not_share_does_not_delay_the_successor() {
     let peer = Peer::serving("ok");
     let (config, _discovery) = with_discovery(&peer);
     let first = killed(&config);
     let before = scripted(&first, |stream| {
-        // It reads on and says nothing, until the other end is closed.
+        // It reads without answering until the successor closes the connection.
         assert!(BufReader::new(&stream).lines().map_while(Result::ok).count() > 0);
     });
     let mut new = first.successor(&config);
@@ -157,12 +157,12 @@
 }
 
 #[test]
-fn a_line_without_an_end_is_not_kept_for_ever() {
+fn an_endless_handover_line_is_not_buffered() {
     let peer = Peer::serving("ok");
     let (config, _discovery) = with_discovery(&peer);
     let first = killed(&config);
     let before = scripted(&first, |mut stream| {
-        // More than any line may be long: the other end closes instead of holding it.
+        // Longer than any line may be: the successor closes the connection instead of buffering it.
         let piece = vec![b'x'; 1 << 20];
         assert!((0..256).any(|_| stream.write_all(&piece).is_err()), "it took 256 MiB of one line");
     });
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn where_keys_can_not_be_written_traffic_goes_on_and_a_figure_says_so() {
+fn failed_writes_of_keys_are_counted_and_traffic_goes_on() {
     let peer = Peer::serving("ok");
     let mut config = config_with_operator(&[&peer]);
     config["settings"]["classes"][2]["group"] = json!("zone");
--- a/crates/curlewhub/tests/storage.rs
+++ b/crates/curlewhub/tests/storage.rs
@@ -1,4 +1,4 @@
-//! The built sidecar in a folder that fails for a while, and in front of a wall clock that steps between two processes.
+//! The built sidecar with a state directory that fails for a while, and with a clock that steps between two processes.
 
 mod support;
 
@@ -8,10 +8,10 @@
 use support::discovery::Discovery;
 use support::*;
 
-/// Later than any test ends: an entry that starts then is off until it is switched on.
+/// Later than the end of any test: an entry with this start is off until it is switched on.
 const NEVER_MS: u64 = 3_600_000;
 
-/// Two folders that go with the test: that of the sidecar, and one for what the test keeps itself.
+/// The sidecar's state directory and one for the test's own files, both removed when dropped.
 struct Folders(PathBuf);
 
 impl Folders {
@@ -30,7 +30,7 @@
         Injection::new(&Schedule { program, entries, ..Schedule::default() }, &self.0, name).unwrap()
     }
 
-    /// Lets a sidecar keep its files here.
+    /// Shell text that makes a sidecar keep its files in `state`.
     fn prefix(&self) -> String {
         format!("export TMPDIR={};", self.state().display())
     }
@@ -42,7 +42,7 @@
     }
 }
 
-/// One endpoint, and a class whose repeats keep to a zone.
+/// A configuration with one endpoint and a keyed class whose repeats stay within a zone.
 fn keyed(peer: &Peer) -> Value {
     let mut config = config_with_operator(&[peer]);
     config["settings"]["classes"][2]["group"] = json!("zone");
@@ -62,7 +62,7 @@
     sidecar.wait_for_exit();
 }
 
-/// How many keys a sidecar has read at its start.
+/// The number of keys that a sidecar read when it started.
 fn keys_read(sidecar: &Sidecar) -> String {
     let line = sidecar.wait_for_log("keys: read what processes before have left");
     line.split("keys=").nth(1).unwrap_or_default().trim().to_owned()
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn jobs_sent_while_the_disk_was_full_are_known_after_a_kill() {
+fn keys_of_jobs_sent_while_the_disk_was_full_survive_a_kill() {
     for (name, errno) in [("full", Errno::Enospc), ("broken", Errno::Eio)] {
         let (peer, folders) = (Peer::serving("ok"), Folders::new(name));
         let config = keyed(&peer);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_journal_that_the_disk_did_not_let_it_create_is_there_after_a_kill() {
+fn a_journal_whose_creation_failed_at_first_survives_a_kill() {
     for (name, call) in [("open", Call::Open), ("header", Call::Write)] {
         let (peer, folders) = (Peer::serving("ok"), Folders::new(name));
         let config = keyed(&peer);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_kill_within_a_slot_costs_no_other_slot() {
+fn a_write_torn_by_a_kill_loses_no_other_key() {
     for bytes in [0, 1, 17, 39] {
         let (peer, folders) = (Peer::serving("ok"), Folders::new(&format!("torn-{bytes}")));
         let config = keyed(&peer);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_clock_that_steps_between_two_processes_costs_neither_keys_nor_what_was_learned() {
+fn a_clock_step_between_two_processes_loses_neither_keys_nor_learned_state() {
     for step_ms in [3_600_000, -3_600_000, 1000, -1000] {
         let (peer, folders) = (Peer::serving("ok"), Folders::new(&format!("step{step_ms}")));
         let mut config = keyed(&peer);
