--- a/crates/balance/src/balance/learning.rs
+++ b/crates/balance/src/balance/learning.rs
@@ -141,7 +141,8 @@
                 }
             }
             Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFault => {}
-            // It may be draining with the notice on its way: it is avoided while the list can't be updated.
+            // An endpoint that rejects while the list can't be updated gets the maximum penalty, which
+            // decays: it may be draining, and the notice has not arrived.
             Outcome::Rejected if self.list_stale_since.is_some() => endpoint.add_penalty(now, MAX_PENALTY),
             _ => endpoint.add_penalty(now, FAILURE_PENALTY),
         }
--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -25,7 +25,7 @@
     pub name: String,
     /// The address for clients.
     pub listen: SocketAddr,
-    /// The address of the discovery service; none if the endpoint list is in the file.
+    /// The address of the discovery service; none if the endpoint list is only in the file.
     pub discovery: Option<SocketAddr>,
     /// The address for operators, if there is one.
     pub operator: Option<SocketAddr>,
--- a/crates/runtime/src/budget.rs
+++ b/crates/runtime/src/budget.rs
@@ -93,11 +93,11 @@
     /// other half. Permits beyond the new limits are not revoked.
     pub fn set_limits(&self, sockets: usize, halved: bool) {
         self.total.set(sockets.saturating_sub(RESERVED_SOCKETS));
-        // An attempt needs a socket too: clients must not take those that their own requests are sent on.
         let memory_kib = self.memory_mb.saturating_mul(1024) / if halved { 2 } else { 1 };
         self.max_body_kib.set(memory_kib / BODY_MEMORY_DIVISOR);
         self.body_memory_released.notify_waiters();
         let by_memory = memory_kib / 2 / KIB_PER_CLIENT;
+        // An attempt needs a socket too: clients must not take those that their own requests are sent on.
         self.max_clients.set((self.total.get() * 5 / 8).min(by_memory).max(1));
     }
 
